--- a/src/entry/cluster_flow.cc
+++ b/src/entry/cluster_flow.cc
@@ -277,7 +277,7 @@
   }
   this->shared.document = this->validated;
   this->shared.fleet_version = adopted.version;
-  this->shared.metrics.Add(Counter::kDocumentsAdopted);
+  this->shared.metrics.Add(Counter::kDocumentsApplied);
   this->shared.actions.emplace_back(
       LogLine{LogLevel::kInfo,
               "fleet document adopted",
--- a/src/entry/detail/host_metrics.h
+++ b/src/entry/detail/host_metrics.h
@@ -26,7 +26,7 @@
   kAnswersSuppressed,
   kMalformedInput,
   kPeerFramesRefused,
-  kDocumentsAdopted,
+  kDocumentsApplied,
   kCount,
 };
 
--- a/src/gateway/gateway_host.cc
+++ b/src/gateway/gateway_host.cc
@@ -257,7 +257,7 @@
   if (read->version <= before) {
     return;  // never backwards
   }
-  this->metrics.Add(Counter::kDocumentsAdopted);
+  this->metrics.Add(Counter::kDocumentsApplied);
   this->Log(LogLevel::kInfo, "configuration adopted",
             {{"version", std::to_string(read->version)},
              {"before", std::to_string(before)},
