--- a/src/entry/caller_access.cc
+++ b/src/entry/caller_access.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-absl::StatusOr<std::string> BearerKey(const Headers& headers) {
+absl::StatusOr<std::string> ParseBearerKey(const Headers& headers) {
   const std::string* header = FindHeader(headers, "Authorization");
   if (header == nullptr || !absl::StartsWithIgnoreCase(*header, kBearer) ||
       header->size() == kBearer.size()) {
@@ -27,7 +27,7 @@
 
 absl::StatusOr<const Organisation*> AuthenticateCaller(
     const FleetDocument& document, const Headers& headers) {
-  const absl::StatusOr<std::string> key = BearerKey(headers);
+  const absl::StatusOr<std::string> key = ParseBearerKey(headers);
   if (!key.ok()) {
     return key.status();
   }
@@ -48,13 +48,14 @@
 }
 
 bool IsOperator(std::string_view digest, const Headers& headers) {
-  const absl::StatusOr<std::string> key = BearerKey(headers);
+  const absl::StatusOr<std::string> key = ParseBearerKey(headers);
   return !digest.empty() && key.ok() &&
          EqualInConstantTime(digest, Sha256Hex(*key));
 }
 
-absl::StatusOr<Duration> CallerWait(const Headers& headers,
-                                    Duration default_wait, Duration max_wait) {
+absl::StatusOr<Duration> ParsePreferredWait(const Headers& headers,
+                                            Duration default_wait,
+                                            Duration max_wait) {
   const std::string* header = FindHeader(headers, "Prefer");
   if (header == nullptr) {
     return std::min(default_wait, max_wait);
--- a/src/entry/cluster_flow.cc
+++ b/src/entry/cluster_flow.cc
@@ -39,7 +39,7 @@
 }
 
 /// Names what a source says of an upstream, as the key of its broadcast.
-std::string SignKey(const UpstreamId& upstream, LeavingSource source) {
+std::string BroadcastKey(const UpstreamId& upstream, LeavingSource source) {
   const std::string_view name = ToText(source);
   return absl::StrCat(absl::string_view(name.data(), name.size()), "/",
                       upstream.value);
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-ClusterFlow::ClusterFlow(HostContext& shared)
+ClusterSync::ClusterSync(HostContext& shared)
     : shared(shared),
       platform(PlatformSettingsOf(shared.settings),
                [&shared] {
@@ -58,7 +58,7 @@
           [this](std::string_view text) { return this->Validate(text); }),
       membership(MembershipSettingsOf(shared.settings), &platform) {}
 
-void ClusterFlow::Start() {
+void ClusterSync::Start() {
   this->membership.SetProbePayload(
       [this](Instant now) { return this->configuration.Digest(now); });
   this->configuration.Start(this->shared.now);
@@ -66,15 +66,15 @@
   this->Flush();
 }
 
-void ClusterFlow::Leave() {
+void ClusterSync::Leave() {
   this->membership.Leave(this->shared.now);
   this->Flush();
 }
 
 // ---- Events of the adapters ----
 
-void ClusterFlow::OnPeerFrame(const PeerFrame& frame) {
-  const absl::StatusOr<PeerEnvelope> envelope = this->gate.Open(frame);
+void ClusterSync::OnPeerFrame(const PeerFrame& frame) {
+  const absl::StatusOr<PeerEnvelope> envelope = this->peer_gate.Open(frame);
   if (!envelope.ok()) {
     this->shared.metrics.Add(Counter::kPeerFramesRefused);
     return;
@@ -96,33 +96,33 @@
   }
 }
 
-void ClusterFlow::OnHead(const HttpHead& head) {
+void ClusterSync::OnHead(const HttpHead& head) {
   this->platform.OnHead(this->shared.now, head);
 }
 
-void ClusterFlow::OnChunk(const HttpChunk& chunk) {
+void ClusterSync::OnChunk(const HttpChunk& chunk) {
   this->platform.OnChunk(this->shared.now, chunk);
 }
 
-void ClusterFlow::OnDone(const HttpDone& done) {
+void ClusterSync::OnDone(const HttpDone& done) {
   this->shared.calls.Close(done.id);
   this->platform.OnDone(this->shared.now, done);
 }
 
-void ClusterFlow::SendDispatch(const DispatchSend& send) {
+void ClusterSync::SendDispatch(const DispatchSend& send) {
   this->SendToPeer(send.to, PeerKind::kDispatch, send.bytes);
 }
 
 // ---- Time and orders ----
 
-void ClusterFlow::Tick() {
+void ClusterSync::Tick() {
   const Instant now = this->shared.now;
   this->platform.Tick(now);
   this->configuration.Tick(now);
   this->membership.Tick(now);
 }
 
-void ClusterFlow::Flush() {
+void ClusterSync::Flush() {
   const Instant now = this->shared.now;
   for (const StoreResult& result : this->platform.TakeResults()) {
     if (!this->configuration.OnPlatform(now, result) &&
@@ -131,10 +131,10 @@
     }
   }
   for (const ConfigurationAction& action : this->configuration.TakeActions()) {
-    this->Carry(action);
+    this->Execute(action);
   }
   for (const MembershipAction& action : this->membership.TakeActions()) {
-    this->Carry(action);
+    this->Execute(action);
   }
   for (Action& action : this->platform.TakeActions()) {
     if (const auto* cancel = std::get_if<HttpCancel>(&action)) {
@@ -144,20 +144,20 @@
   }
 }
 
-Instant ClusterFlow::NextWakeup() const {
+Instant ClusterSync::NextWakeup() const {
   return std::min({this->platform.NextWakeup(),
                    this->configuration.NextWakeup(),
                    this->membership.NextWakeup()});
 }
 
-bool ClusterFlow::Ready() const {
+bool ClusterSync::Ready() const {
   return this->configuration.Ready() && this->membership.Current() &&
          this->shared.document != nullptr;
 }
 
 // ---- Membership ----
 
-void ClusterFlow::Carry(const MembershipAction& action) {
+void ClusterSync::Execute(const MembershipAction& action) {
   const Instant now = this->shared.now;
   if (const auto* send = std::get_if<MembershipSend>(&action)) {
     const PeerEnvelope envelope{kPeerEnvelopeVersion,
@@ -171,12 +171,12 @@
     this->OnBroadcast(item->item);
   } else if (const auto* payload = std::get_if<ProbePayloadReceived>(&action)) {
     this->configuration.OnDigest(now, payload->from, payload->bytes);
-  } else if (const auto* list = std::get_if<HostListRead>(&action)) {
-    this->OnHostList(*list);
+  } else if (const auto* host_list = std::get_if<HostListRead>(&action)) {
+    this->OnHostList(*host_list);
   }
 }
 
-void ClusterFlow::OnLiveHosts(const LiveHostsChanged& change) {
+void ClusterSync::OnLiveHosts(const LiveHostsChanged& change) {
   const Instant now = this->shared.now;
   this->configuration.OnHosts(now, change.live, change.neighbours);
   this->platform.SetBudget(now,
@@ -188,35 +188,36 @@
   this->on_change();
 }
 
-void ClusterFlow::OnHostList(const HostListRead& list) {
-  for (const ListedHost& host : list.hosts) {
+void ClusterSync::OnHostList(const HostListRead& host_list) {
+  for (const ListedHost& host : host_list.hosts) {
     if (host.role == ListedRole::kUpstream) {
-      this->NoteUpstream(UpstreamId{host.id}, LeavingSource::kHostList,
-                         host.leaving);
+      this->UpdateLeaving(UpstreamId{host.id}, LeavingSource::kHostList,
+                          host.leaving);
     }
   }
 }
 
 // ---- Upstreams that leave ----
 
-void ClusterFlow::NoteUpstream(const UpstreamId& upstream, LeavingSource source,
-                               bool leaves) {
+void ClusterSync::UpdateLeaving(const UpstreamId& upstream,
+                                LeavingSource source, bool is_leaving) {
   const auto known = this->leaving.find(upstream);
-  const bool before =
+  const bool was_leaving =
       known != this->leaving.end() && known->second.count(source) != 0;
-  if (before == leaves) {
+  if (was_leaving == is_leaving) {
     return;
   }
-  const std::string key = SignKey(upstream, source);
-  const std::uint64_t version = ++this->sign_versions[key];
-  this->SetLeaving(upstream, source, leaves);
-  const WorkerState state = leaves ? WorkerState::kLeaving : WorkerState::kLive;
+  const std::string key = BroadcastKey(upstream, source);
+  const std::uint64_t version = ++this->broadcast_versions[key];
+  this->ApplyLeaving(upstream, source, is_leaving);
+  const WorkerState state =
+      is_leaving ? WorkerState::kLeaving : WorkerState::kLive;
   this->membership.Spread(
       this->shared.now,
       Broadcast{kUpstreamTopic, key, version, std::string(ToText(state))});
 }
 
-void ClusterFlow::OnBroadcast(const Broadcast& item) {
+void ClusterSync::OnBroadcast(const Broadcast& item) {
   const std::optional<WorkerState> state = ParseEnum<WorkerState>(item.bytes);
   const std::size_t slash = item.key.find('/');
   const std::string source_name = item.key.substr(0, slash);
@@ -226,15 +227,15 @@
     this->shared.metrics.Add(Counter::kPeerFramesRefused);
     return;
   }
-  std::uint64_t& version = this->sign_versions[item.key];
+  std::uint64_t& version = this->broadcast_versions[item.key];
   version = std::max(version, item.version);
-  this->SetLeaving(UpstreamId{item.key.substr(slash + 1)}, *source,
-                   *state == WorkerState::kLeaving);
+  this->ApplyLeaving(UpstreamId{item.key.substr(slash + 1)}, *source,
+                     *state == WorkerState::kLeaving);
 }
 
-void ClusterFlow::SetLeaving(const UpstreamId& upstream, LeavingSource source,
-                             bool leaves) {
-  if (leaves) {
+void ClusterSync::ApplyLeaving(const UpstreamId& upstream, LeavingSource source,
+                               bool is_leaving) {
+  if (is_leaving) {
     this->leaving[upstream].insert(source);
   } else if (this->leaving.count(upstream) != 0) {
     this->leaving[upstream].erase(source);
@@ -242,22 +243,22 @@
       this->leaving.erase(upstream);
     }
   }
-  const bool stays = this->leaving.count(upstream) == 0;
+  const bool is_live = this->leaving.count(upstream) == 0;
   this->shared.Dispatch(SetWorkerState{
-      upstream, stays ? WorkerState::kLive : WorkerState::kLeaving});
+      upstream, is_live ? WorkerState::kLive : WorkerState::kLeaving});
 }
 
 // ---- Configuration ----
 
-void ClusterFlow::Carry(const ConfigurationAction& action) {
+void ClusterSync::Execute(const ConfigurationAction& action) {
   if (const auto* send = std::get_if<ConfigurationSend>(&action)) {
     this->SendToPeer(send->to, PeerKind::kConfiguration, send->bytes);
-  } else if (const auto* adopted = std::get_if<ConfigurationAdopted>(&action)) {
-    this->Adopt(*adopted);
+  } else if (const auto* applied = std::get_if<ConfigurationAdopted>(&action)) {
+    this->ApplyDocument(*applied);
   }
 }
 
-absl::Status ClusterFlow::Validate(std::string_view text) {
+absl::Status ClusterSync::Validate(std::string_view text) {
   FleetParseResult parsed = ParseFleet(text);
   absl::Status status = StatusOf(parsed);
   if (!status.ok()) {
@@ -269,19 +270,19 @@
   return absl::OkStatus();
 }
 
-void ClusterFlow::Adopt(const ConfigurationAdopted& adopted) {
+void ClusterSync::ApplyDocument(const ConfigurationAdopted& applied) {
   const bool known =
-      adopted.text == this->validated_text || this->Validate(adopted.text).ok();
-  if (!known || adopted.version <= this->shared.fleet_version) {
+      applied.text == this->validated_text || this->Validate(applied.text).ok();
+  if (!known || applied.version <= this->shared.fleet_version) {
     return;
   }
   this->shared.document = this->validated;
-  this->shared.fleet_version = adopted.version;
+  this->shared.fleet_version = applied.version;
   this->shared.metrics.Add(Counter::kDocumentsApplied);
   this->shared.actions.emplace_back(
       LogLine{LogLevel::kInfo,
               "fleet document adopted",
-              {{"version", std::to_string(adopted.version)},
+              {{"version", std::to_string(applied.version)},
                {"change_id", this->shared.document->change_id}}});
   this->shared.Dispatch(Configure{this->shared.document});
   for (const auto& [upstream, sources] : this->leaving) {
@@ -290,7 +291,7 @@
   this->on_change();
 }
 
-void ClusterFlow::SendToPeer(const HostId& to, PeerKind kind,
+void ClusterSync::SendToPeer(const HostId& to, PeerKind kind,
                              std::string payload) {
   const std::optional<std::string> address = this->membership.AddressOf(to);
   if (!address) {
--- a/src/entry/completion_body.cc
+++ b/src/entry/completion_body.cc
@@ -15,14 +15,14 @@
 constexpr std::size_t kMaxBlocks = 16;
 constexpr std::int64_t kMaxOutputTokens = 1'000'000;
 
-absl::Status Malformed(std::string_view detail) {
+absl::Status MalformedError(std::string_view detail) {
   return MakeStatus(ErrorCode::kRequestMalformed, detail);
 }
 
 absl::StatusOr<std::string> ParseMessages(const json& body) {
   const auto messages = body.find("messages");
   if (messages == body.end() || !messages->is_array() || messages->empty()) {
-    return Malformed("/messages must be a list that is not empty");
+    return MalformedError("/messages must be a list that is not empty");
   }
   std::string prompt;
   for (const json& message : *messages) {
@@ -31,7 +31,7 @@
                        message.contains("content") &&
                        message["content"].is_string();
     if (!valid) {
-      return Malformed("/messages: each needs role and content as text");
+      return MalformedError("/messages: each needs role and content as text");
     }
     prompt += message["role"].get<std::string>();
     prompt += ": ";
@@ -47,40 +47,41 @@
   }
   const auto prompt = body.find("prompt");
   if (prompt == body.end() || !prompt->is_string()) {
-    return Malformed("/prompt must be text");
+    return MalformedError("/prompt must be text");
   }
   return prompt->get<std::string>();
 }
 
-absl::Status ParseOptions(const json& body, CompletionBody& parsed) {
+absl::Status ParseOptions(const json& body, CompletionBody& request) {
   const auto max_tokens = body.find("max_tokens");
   if (max_tokens != body.end()) {
     const bool valid = max_tokens->is_number_integer() &&
                        max_tokens->get<std::int64_t>() > 0 &&
                        max_tokens->get<std::int64_t>() <= kMaxOutputTokens;
     if (!valid) {
-      return Malformed("/max_tokens must be a whole number from 1 to 1000000");
+      return MalformedError(
+          "/max_tokens must be a whole number from 1 to 1000000");
     }
-    parsed.max_output_tokens = max_tokens->get<std::uint32_t>();
+    request.max_output_tokens = max_tokens->get<std::uint32_t>();
   }
   const auto stream = body.find("stream");
   if (stream != body.end()) {
     if (!stream->is_boolean()) {
-      return Malformed("/stream must be true or false");
+      return MalformedError("/stream must be true or false");
     }
-    parsed.stream = stream->get<bool>();
+    request.stream = stream->get<bool>();
   }
   return absl::OkStatus();
 }
 
-json OptionalReason(std::string_view finish_reason) {
+json FinishReasonOrNull(std::string_view finish_reason) {
   return finish_reason.empty() ? json() : json(finish_reason);
 }
 
 json ChunkChoice(CompletionKind kind, std::string_view text,
                  std::string_view finish_reason) {
   json choice = {{"index", 0},
-                 {"finish_reason", OptionalReason(finish_reason)}};
+                 {"finish_reason", FinishReasonOrNull(finish_reason)}};
   if (kind == CompletionKind::kChat) {
     choice["delta"] = text.empty() ? json::object() : json{{"content", text}};
   } else {
@@ -89,15 +90,15 @@
   return choice;
 }
 
-std::string RenderChunk(const AnswerHeader& header, std::string_view text,
+std::string RenderChunk(const ResponseMetadata& metadata, std::string_view text,
                         std::string_view finish_reason) {
-  const bool chat = header.kind == CompletionKind::kChat;
+  const bool chat = metadata.kind == CompletionKind::kChat;
   const json chunk = {
-      {"id", header.id},
+      {"id", metadata.id},
       {"object", chat ? "chat.completion.chunk" : "text_completion"},
-      {"model", header.model},
+      {"model", metadata.model},
       {"choices",
-       json::array({ChunkChoice(header.kind, text, finish_reason)})}};
+       json::array({ChunkChoice(metadata.kind, text, finish_reason)})}};
   return DumpJson(chunk);
 }
 
@@ -105,26 +106,26 @@
 
 absl::StatusOr<CompletionBody> ParseCompletionBody(CompletionKind kind,
                                                    std::string_view body) {
-  const json parsed_json = json::parse(body, nullptr, false);
-  if (!parsed_json.is_object()) {
-    return Malformed("the body must be a JSON object");
+  const json json_body = json::parse(body, nullptr, false);
+  if (!json_body.is_object()) {
+    return MalformedError("the body must be a JSON object");
   }
-  const auto model = parsed_json.find("model");
-  if (model == parsed_json.end() || !model->is_string()) {
-    return Malformed("/model must be text");
+  const auto model = json_body.find("model");
+  if (model == json_body.end() || !model->is_string()) {
+    return MalformedError("/model must be text");
   }
-  CompletionBody parsed;
-  parsed.model = model->get<std::string>();
-  absl::StatusOr<std::string> prompt = ParsePrompt(kind, parsed_json);
+  CompletionBody request;
+  request.model = model->get<std::string>();
+  absl::StatusOr<std::string> prompt = ParsePrompt(kind, json_body);
   if (!prompt.ok()) {
     return prompt.status();
   }
-  parsed.prompt = *std::move(prompt);
-  const absl::Status options = ParseOptions(parsed_json, parsed);
+  request.prompt = *std::move(prompt);
+  const absl::Status options = ParseOptions(json_body, request);
   if (!options.ok()) {
     return options;
   }
-  return parsed;
+  return request;
 }
 
 std::uint32_t EstimatePromptTokens(std::string_view prompt) {
@@ -132,61 +133,64 @@
       std::max<std::size_t>(1, prompt.size() / kBytesPerToken));
 }
 
-std::vector<std::uint64_t> PrefixBlocks(std::string_view model,
-                                        std::string_view prompt) {
+std::vector<std::uint64_t> HashPrefixBlocks(std::string_view model,
+                                            std::string_view prompt) {
   std::vector<std::uint64_t> blocks;
   std::uint64_t previous = StableHash(model);
-  for (std::size_t at = 0;
-       at + kBlockBytes <= prompt.size() && blocks.size() < kMaxBlocks;
-       at += kBlockBytes) {
-    previous = StableHash(prompt.substr(at, kBlockBytes), previous);
+  for (std::size_t offset = 0;
+       offset + kBlockBytes <= prompt.size() && blocks.size() < kMaxBlocks;
+       offset += kBlockBytes) {
+    previous = StableHash(prompt.substr(offset, kBlockBytes), previous);
     blocks.push_back(previous);
   }
   return blocks;
 }
 
-ChunkWriter::ChunkWriter(const AnswerHeader& header) : header(header) {
+ChunkWriter::ChunkWriter(const ResponseMetadata& metadata)
+    : metadata(metadata) {
   // A text that JSON writes as it stands and that no id or model can hold.
-  const std::string mark = "\\u0001text\\u0001";
-  const std::string chunk = RenderChunk(this->header, "\x01text\x01", "");
-  const std::string quoted = "\"" + mark + "\"";
-  const std::size_t at = chunk.find(quoted);
-  this->before_text = chunk.substr(0, at);
-  this->after_text = chunk.substr(at + quoted.size());
+  const std::string placeholder = "\\u0001text\\u0001";
+  const std::string chunk = RenderChunk(this->metadata, "\x01text\x01", "");
+  const std::string quoted = "\"" + placeholder + "\"";
+  const std::size_t offset = chunk.find(quoted);
+  this->chunk_prefix = chunk.substr(0, offset);
+  this->chunk_suffix = chunk.substr(offset + quoted.size());
 }
 
-std::string ChunkWriter::Token(std::string_view text) const {
-  std::string chunk = this->before_text;
+std::string ChunkWriter::TokenChunk(std::string_view text) const {
+  std::string chunk = this->chunk_prefix;
   chunk += DumpJson(json(text));
-  chunk += this->after_text;
+  chunk += this->chunk_suffix;
   return chunk;
 }
 
-std::string ChunkWriter::Finish(std::string_view finish_reason) const {
-  return RenderChunk(this->header, "", finish_reason);
+std::string ChunkWriter::FinalChunk(std::string_view finish_reason) const {
+  return RenderChunk(this->metadata, "", finish_reason);
 }
 
-std::string WriteWholeAnswer(const AnswerHeader& header, std::string_view text,
-                             std::string_view finish_reason,
-                             std::uint32_t prompt_tokens,
-                             std::uint32_t output_tokens) {
-  const bool chat = header.kind == CompletionKind::kChat;
+std::string RenderCompletionResponse(const ResponseMetadata& metadata,
+                                     std::string_view text,
+                                     std::string_view finish_reason,
+                                     std::uint32_t prompt_tokens,
+                                     std::uint32_t output_tokens) {
+  const bool chat = metadata.kind == CompletionKind::kChat;
   json choice = {{"index", 0},
-                 {"finish_reason", OptionalReason(finish_reason)}};
+                 {"finish_reason", FinishReasonOrNull(finish_reason)}};
   if (chat) {
     choice["message"] = {{"role", "assistant"}, {"content", text}};
   } else {
     choice["text"] = text;
   }
-  const json answer = {{"id", header.id},
-                       {"object", chat ? "chat.completion" : "text_completion"},
-                       {"model", header.model},
-                       {"choices", json::array({choice})},
-                       {"usage",
-                        {{"prompt_tokens", prompt_tokens},
-                         {"completion_tokens", output_tokens},
-                         {"total_tokens", prompt_tokens + output_tokens}}}};
-  return DumpJson(answer);
+  const json response = {
+      {"id", metadata.id},
+      {"object", chat ? "chat.completion" : "text_completion"},
+      {"model", metadata.model},
+      {"choices", json::array({choice})},
+      {"usage",
+       {{"prompt_tokens", prompt_tokens},
+        {"completion_tokens", output_tokens},
+        {"total_tokens", prompt_tokens + output_tokens}}}};
+  return DumpJson(response);
 }
 
 }  // namespace limpetlink
--- a/src/entry/completion_flow.cc
+++ b/src/entry/completion_flow.cc
@@ -14,9 +14,10 @@
 constexpr Duration kRetryAfterDeadline = std::chrono::seconds(1);
 
 const Route* FindRoute(const FleetDocument& document, const std::string& model,
-                       const std::string* wanted) {
+                       const std::string* route_name) {
   for (const Route& route : document.routes) {
-    if (route.model == model && (wanted == nullptr || route.name == *wanted)) {
+    if (route.model == model &&
+        (route_name == nullptr || route.name == *route_name)) {
       return &route;
     }
   }
@@ -32,7 +33,7 @@
   return nullptr;
 }
 
-StreamCallEnd CallEndOf(HttpEnd end) {
+StreamCallEnd StreamCallEndOf(HttpEnd end) {
   switch (end) {
     case HttpEnd::kNotConnected:
       return StreamCallEnd::kNotConnected;
@@ -46,21 +47,21 @@
   return StreamCallEnd::kComplete;
 }
 
-StreamCallEnd CallEndOfStatus(int status) {
+StreamCallEnd StreamCallEndOfStatus(int status) {
   constexpr int kNotFound = 404;
   return status == kNotFound ? StreamCallEnd::kGone : StreamCallEnd::kRefused;
 }
 
 }  // namespace
 
-CompletionFlow::CompletionFlow(HostContext& shared) : shared(shared) {}
+CompletionHandler::CompletionHandler(HostContext& shared) : shared(shared) {}
 
-bool CompletionFlow::Owns(RequestId id) const {
+bool CompletionHandler::Owns(RequestId id) const {
   return this->completions.count(id) != 0;
 }
 
-void CompletionFlow::Receive(const CallerRequest& request,
-                             CompletionKind kind) {
+void CompletionHandler::Handle(const CallerRequest& request,
+                               CompletionKind kind) {
   const absl::Status status = this->Accept(request, kind);
   if (status.ok()) {
     return;
@@ -69,8 +70,8 @@
   ReplyProblem(this->shared.actions, request.id, RefusalOf(status));
 }
 
-absl::Status CompletionFlow::Accept(const CallerRequest& request,
-                                    CompletionKind kind) {
+absl::Status CompletionHandler::Accept(const CallerRequest& request,
+                                       CompletionKind kind) {
   const FleetDocument& document = *this->shared.document;
   const absl::StatusOr<const Organisation*> organisation =
       AuthenticateCaller(document, request.headers);
@@ -91,8 +92,8 @@
     return MakeStatus(ErrorCode::kRequestUnknownRoute,
                       "the model has no such route");
   }
-  const absl::StatusOr<Duration> wait =
-      CallerWait(request.headers, route->default_deadline, route->max_deadline);
+  const absl::StatusOr<Duration> wait = ParsePreferredWait(
+      request.headers, route->default_deadline, route->max_deadline);
   if (!wait.ok()) {
     return wait.status();
   }
@@ -110,14 +111,14 @@
   completion.arrived = this->shared.now;
   completion.deadline = this->shared.now + *wait;
   completion.prompt_tokens = EstimatePromptTokens(completion.body.prompt);
-  completion.header = {kind, absl::StrCat("cmpl-", completion.trace.span_id),
-                       completion.body.model};
-  completion.chunks.emplace(completion.header);
-  return this->TakeUp(request, completion);
+  completion.metadata = {kind, absl::StrCat("cmpl-", completion.trace.span_id),
+                         completion.body.model};
+  completion.chunks.emplace(completion.metadata);
+  return this->StartOrResume(request, completion);
 }
 
-absl::Status CompletionFlow::TakeUp(const CallerRequest& request,
-                                    Completion& completion) {
+absl::Status CompletionHandler::StartOrResume(const CallerRequest& request,
+                                              Completion& completion) {
   const std::string* last_event = FindHeader(request.headers, "Last-Event-ID");
   absl::StatusOr<ResumeToken> token;
   if (last_event != nullptr) {
@@ -136,25 +137,25 @@
     return MakeStatus(ErrorCode::kRequestDeadlinePast,
                       "the deadline is not ahead");
   }
-  Completion& kept =
+  Completion& stored =
       this->completions.emplace(request.id, std::move(completion))
           .first->second;
   const Upstream* worker = last_event == nullptr
                                ? nullptr
                                : this->shared.FindUpstream(token->worker);
   if (worker == nullptr) {
-    this->Submit(kept, false);
+    this->Submit(stored, false);
     return absl::OkStatus();
   }
-  kept.url = worker->url;
+  stored.url = worker->url;
   this->shared.metrics.Add(Counter::kStreamsResumed);
-  kept.tokens = static_cast<std::uint32_t>(token->offset);
-  this->Advance(kept,
-                StreamTakeUp{token->generation, token->worker, token->offset});
+  stored.tokens = static_cast<std::uint32_t>(token->offset);
+  this->StepStream(
+      stored, StreamTakeUp{token->generation, token->worker, token->offset});
   return absl::OkStatus();
 }
 
-void CompletionFlow::Submit(const Completion& completion, bool is_retry) {
+void CompletionHandler::Submit(const Completion& completion, bool is_retry) {
   SubmitRequest submit;
   submit.request = completion.id;
   submit.organisation = completion.organisation;
@@ -164,7 +165,7 @@
   submit.prompt_tokens = completion.prompt_tokens;
   submit.max_output_tokens = completion.body.max_output_tokens;
   submit.prefix_blocks =
-      PrefixBlocks(completion.body.model, completion.body.prompt);
+      HashPrefixBlocks(completion.body.model, completion.body.prompt);
   submit.deadline = completion.deadline;
   submit.is_retry = is_retry;
   submit.excluded = completion.excluded;
@@ -173,7 +174,7 @@
 
 // ---- Decisions of the dispatcher ----
 
-void CompletionFlow::OnPlace(const Place& place) {
+void CompletionHandler::OnPlace(const Place& place) {
   Completion& completion = this->completions.at(place.request);
   completion.placed = true;
   completion.url = place.url;
@@ -185,16 +186,16 @@
   const GenerationId generation{absl::StrCat(
       this->shared.settings.self.value, ".",
       absl::Hex(this->shared.settings.seed), ".", ++this->generations)};
-  this->Advance(completion, StreamBegin{generation, place.worker});
+  this->StepStream(completion, StreamBegin{generation, place.worker});
 }
 
-void CompletionFlow::OnRefuse(const Refuse& refuse) {
+void CompletionHandler::OnRefuse(const Refuse& refuse) {
   Completion& completion = this->completions.at(refuse.request);
   completion.placed = false;
-  this->Advance(completion, StreamGiveUp{refuse.problem});
+  this->StepStream(completion, StreamGiveUp{refuse.problem});
 }
 
-void CompletionFlow::OnWaiting(const Waiting& waiting) {
+void CompletionHandler::OnWaiting(const Waiting& waiting) {
   Completion& completion = this->completions.at(waiting.request);
   completion.expected_wait = waiting.expected_wait;
   this->shared.requests.SetWaiting(this->shared.now, completion.id,
@@ -202,7 +203,7 @@
                                    waiting.reason);
 }
 
-void CompletionFlow::OnSetPriority(const SetPriority& priority) {
+void CompletionHandler::OnSetPriority(const SetPriority& priority) {
   Completion& completion = this->completions.at(priority.request);
   if (completion.call.id.value == 0 ||
       completion.stream.Worker() != priority.worker) {
@@ -223,38 +224,39 @@
 
 // ---- Events of the adapters ----
 
-void CompletionFlow::OnCallerGone(RequestId id) {
+void CompletionHandler::OnCallerGone(RequestId id) {
   Completion& completion = this->completions.at(id);
   // After a pause the caller may have gone on at another host with this
   // generation.
-  this->Advance(completion, StreamCallerLeft{!this->shared.WokeJustNow()});
-  this->Unplace(completion, PlacementEnd::kCancelled);
+  this->StepStream(completion,
+                   StreamCallerLeft{!this->shared.RecentlyPaused()});
+  this->ReleasePlacement(completion, PlacementEnd::kCancelled);
   this->shared.requests.SetCallerLeft(id);
   this->shared.requests.Finish(id);
   this->Close(completion, "caller_gone");
 }
 
-void CompletionFlow::OnCallerDrained(const CallerDrained& drained) {
-  this->Advance(this->completions.at(drained.id),
-                StreamDrained{drained.buffered});
+void CompletionHandler::OnCallerDrained(const CallerDrained& drained) {
+  this->StepStream(this->completions.at(drained.id),
+                   StreamDrained{drained.buffered});
 }
 
-void CompletionFlow::OnHead(RequestId id, const HttpHead& head) {
+void CompletionHandler::OnHead(RequestId id, const HttpHead& head) {
   constexpr int kOk = 200;
   Completion& completion = this->completions.at(id);
   completion.call.status = head.status;
   const StreamAttempt attempt = completion.call.attempt;
   if (head.status == kOk) {
-    this->Advance(completion, StreamCallAlive{attempt});
+    this->StepStream(completion, StreamCallAlive{attempt});
     return;
   }
   this->shared.CancelHttp(head.id);
   this->CloseCall(completion, "refused");
-  this->Advance(completion,
-                StreamCallEnded{attempt, CallEndOfStatus(head.status)});
+  this->StepStream(
+      completion, StreamCallEnded{attempt, StreamCallEndOfStatus(head.status)});
 }
 
-void CompletionFlow::OnChunk(RequestId id, const HttpChunk& chunk) {
+void CompletionHandler::OnChunk(RequestId id, const HttpChunk& chunk) {
   Completion& completion = this->completions.at(id);
   const StreamAttempt attempt = completion.call.attempt;
   const absl::StatusOr<std::vector<SseEvent>> events =
@@ -263,8 +265,8 @@
     this->shared.metrics.Add(Counter::kMalformedInput);
     this->shared.CancelHttp(chunk.id);
     this->CloseCall(completion, "malformed");
-    this->Advance(completion,
-                  StreamCallEnded{attempt, StreamCallEnd::kMalformed});
+    this->StepStream(completion,
+                     StreamCallEnded{attempt, StreamCallEnd::kMalformed});
     return;
   }
   for (const SseEvent& event : *events) {
@@ -273,34 +275,35 @@
       this->shared.metrics.Add(Counter::kMalformedInput);
       continue;
     }
-    this->Advance(completion, StreamFrame{attempt, *std::move(frame)});
+    this->StepStream(completion, StreamFrame{attempt, *std::move(frame)});
     if (!this->Owns(id)) {
       return;
     }
   }
 }
 
-void CompletionFlow::OnDone(RequestId id, const HttpDone& done) {
+void CompletionHandler::OnDone(RequestId id, const HttpDone& done) {
   Completion& completion = this->completions.at(id);
   const StreamAttempt attempt = completion.call.attempt;
   this->CloseCall(completion, ToText(done.end));
-  this->Advance(completion, StreamCallEnded{attempt, CallEndOf(done.end)});
+  this->StepStream(completion,
+                   StreamCallEnded{attempt, StreamCallEndOf(done.end)});
 }
 
-void CompletionFlow::OnDeadline(RequestId id) {
+void CompletionHandler::OnDeadline(RequestId id) {
   Completion& completion = this->completions.at(id);
   this->shared.metrics.Add(Counter::kDeadlinesReached);
-  this->Unplace(completion, PlacementEnd::kCancelled);
+  this->ReleasePlacement(completion, PlacementEnd::kCancelled);
   const Duration retry_after =
       std::max(completion.expected_wait, kRetryAfterDeadline);
-  this->Advance(
+  this->StepStream(
       completion,
       StreamGiveUp{{ErrorCode::kRequestDeadlineReached, Outcome::kUnknown,
                     "the deadline was reached before the answer was whole",
                     retry_after}});
 }
 
-void CompletionFlow::OnNoticeDue(const WaitNotice& notice) {
+void CompletionHandler::OnNoticeDue(const WaitNotice& notice) {
   Completion& completion = this->completions.at(notice.id);
   this->SendHead(completion);
   const std::string text =
@@ -310,36 +313,36 @@
       ReplyBody{notice.id, EncodeSseComment(text)});
 }
 
-void CompletionFlow::Tick() {
+void CompletionHandler::Tick() {
   while (!this->wakeups.empty() &&
          this->wakeups.begin()->first <= this->shared.now) {
     const RequestId id = this->wakeups.begin()->second;
-    this->Advance(this->completions.at(id), StreamTick{});
+    this->StepStream(this->completions.at(id), StreamTick{});
   }
 }
 
-Instant CompletionFlow::NextWakeup() const {
+Instant CompletionHandler::NextWakeup() const {
   return this->wakeups.empty() ? kNever : this->wakeups.begin()->first;
 }
 
 // ---- Orders of the stream ----
 
-void CompletionFlow::Advance(Completion& completion, StreamMessage message) {
+void CompletionHandler::StepStream(Completion& completion,
+                                   StreamMessage message) {
   const RequestId id = completion.id;
-  StreamActions orders =
+  StreamActions actions =
       completion.stream.Step(this->shared.now, std::move(message));
   this->SetWakeup(completion, completion.stream.NextWakeup());
-  for (const StreamAction& order : orders) {
+  for (const StreamAction& action : actions) {
     if (!this->Owns(id)) {
       return;
     }
-    std::visit(
-        [&](const auto& content) { this->CarryOut(completion, content); },
-        order);
+    std::visit([&](const auto& content) { this->Execute(completion, content); },
+               action);
   }
 }
 
-void CompletionFlow::SetWakeup(Completion& completion, Instant at) {
+void CompletionHandler::SetWakeup(Completion& completion, Instant at) {
   if (completion.wakeup == at) {
     return;
   }
--- a/src/entry/completion_orders.cc
+++ b/src/entry/completion_orders.cc
@@ -14,8 +14,8 @@
 constexpr std::uint32_t kTokensBetweenReports = 16;
 constexpr Duration kRetryAfterLoss = std::chrono::seconds(1);
 
-PlacementEnd PlacementEndOf(const RequestNewWorker& wanted) {
-  switch (wanted.cause) {
+PlacementEnd PlacementEndOf(const RequestNewWorker& retry) {
+  switch (retry.cause) {
     case StreamCallEnd::kNotConnected:
       return PlacementEnd::kNotConnected;
     case StreamCallEnd::kRefused:
@@ -27,7 +27,8 @@
 
 }  // namespace
 
-void CompletionFlow::CarryOut(Completion& completion, const StartCall& start) {
+void CompletionHandler::Execute(Completion& completion,
+                                const StartCall& start) {
   const json body = {{"model", completion.body.model},
                      {"prompt", completion.body.prompt},
                      {"max_tokens", completion.body.max_output_tokens},
@@ -43,8 +44,8 @@
   this->OpenCall(completion, start.attempt, std::move(call));
 }
 
-void CompletionFlow::CarryOut(Completion& completion,
-                              const ResumeCall& resume) {
+void CompletionHandler::Execute(Completion& completion,
+                                const ResumeCall& resume) {
   HttpCall call;
   call.method = "GET";
   call.url = absl::StrCat(completion.url, "/v1/generations/",
@@ -52,8 +53,8 @@
   this->OpenCall(completion, resume.attempt, std::move(call));
 }
 
-void CompletionFlow::OpenCall(Completion& completion, StreamAttempt attempt,
-                              HttpCall call) {
+void CompletionHandler::OpenCall(Completion& completion, StreamAttempt attempt,
+                                 HttpCall call) {
   GenerationCall& open = completion.call;
   open = GenerationCall{};
   open.attempt = attempt;
@@ -65,8 +66,8 @@
       {CallPurpose::kGeneration, completion.id, open.worker}, std::move(call));
 }
 
-void CompletionFlow::CloseCall(Completion& completion,
-                               std::string_view result) {
+void CompletionHandler::CloseCall(Completion& completion,
+                                  std::string_view result) {
   if (completion.call.id.value == 0) {
     return;
   }
@@ -79,8 +80,8 @@
   completion.call.id = CallId{};
 }
 
-void CompletionFlow::CarryOut(Completion& completion,
-                              const AbandonCall& /*abandon*/) {
+void CompletionHandler::Execute(Completion& completion,
+                                const AbandonCall& /*abandon*/) {
   const CallId id = completion.call.id;
   if (id.value != 0) {
     this->shared.CancelHttp(id);
@@ -89,15 +90,16 @@
   }
 }
 
-void CompletionFlow::CarryOut(Completion& completion, const PauseCall& pause) {
+void CompletionHandler::Execute(Completion& completion,
+                                const PauseCall& pause) {
   if (completion.call.id.value != 0) {
     this->shared.actions.emplace_back(
         HttpPause{completion.call.id, pause.paused});
   }
 }
 
-void CompletionFlow::CarryOut(Completion& completion,
-                              const DeliverToken& token) {
+void CompletionHandler::Execute(Completion& completion,
+                                const DeliverToken& token) {
   const Instant now = this->shared.now;
   if (completion.last_token == kNever) {
     this->shared.metrics.Record(Timing::kFirstToken, now - completion.arrived);
@@ -112,47 +114,50 @@
     this->shared.Dispatch(ReportProduced{completion.id, completion.tokens});
   }
   if (!completion.body.stream) {
-    completion.collected += token.text;
+    completion.buffered_text += token.text;
     return;
   }
-  this->SendEvent(completion, {this->MintToken(completion, token.offset + 1),
-                               "", completion.chunks->Token(token.text)});
+  this->SendEvent(completion,
+                  {this->CreateResumeToken(completion, token.offset + 1), "",
+                   completion.chunks->TokenChunk(token.text)});
 }
 
-void CompletionFlow::CarryOut(Completion& completion,
-                              const FinishStream& finish) {
-  this->Unplace(completion, PlacementEnd::kFinished);
-  if (!this->MayAnswer(completion)) {
+void CompletionHandler::Execute(Completion& completion,
+                                const FinishStream& finish) {
+  this->ReleasePlacement(completion, PlacementEnd::kFinished);
+  if (!this->TryFinish(completion)) {
     return;
   }
   const std::string_view reason = ToText(finish.reason);
   if (completion.body.stream) {
-    this->SendEvent(completion, {this->MintToken(completion, finish.tokens), "",
-                                 completion.chunks->Finish(reason)});
+    this->SendEvent(completion,
+                    {this->CreateResumeToken(completion, finish.tokens), "",
+                     completion.chunks->FinalChunk(reason)});
     this->SendEvent(completion, {"", "", "[DONE]"});
     this->shared.actions.emplace_back(ReplyEnd{completion.id, false});
   } else {
-    ReplyWhole(this->shared.actions, completion.id, 200, "application/json",
-               WriteWholeAnswer(completion.header, completion.collected, reason,
-                                completion.prompt_tokens,
-                                static_cast<std::uint32_t>(finish.tokens)));
+    ReplyWithBody(
+        this->shared.actions, completion.id, 200, "application/json",
+        RenderCompletionResponse(completion.metadata, completion.buffered_text,
+                                 reason, completion.prompt_tokens,
+                                 static_cast<std::uint32_t>(finish.tokens)));
   }
   this->Close(completion, "finished");
 }
 
-void CompletionFlow::CarryOut(Completion& completion,
-                              const EndIncomplete& end) {
-  this->Unplace(completion, PlacementEnd::kLost);
-  this->RefuseCaller(completion, end.problem);
+void CompletionHandler::Execute(Completion& completion,
+                                const EndIncomplete& end) {
+  this->ReleasePlacement(completion, PlacementEnd::kLost);
+  this->FailRequest(completion, end.problem);
 }
 
-void CompletionFlow::CarryOut(Completion& completion,
-                              const RestartStream& restart) {
+void CompletionHandler::Execute(Completion& completion,
+                                const RestartStream& restart) {
   this->shared.metrics.Add(Counter::kStreamsRestarted);
   this->shared.Log(LogLevel::kWarning, "stream restarted", completion.trace,
                    {{"dropped_generation", restart.dropped.value},
                     {"generation", restart.generation.value}});
-  completion.collected.clear();
+  completion.buffered_text.clear();
   if (!completion.body.stream) {
     return;
   }
@@ -162,20 +167,20 @@
   this->SendEvent(completion, {"", "restart", DumpJson(data)});
 }
 
-void CompletionFlow::CarryOut(Completion& completion,
-                              const RequestNewWorker& wanted) {
-  completion.excluded = wanted.excluded;
+void CompletionHandler::Execute(Completion& completion,
+                                const RequestNewWorker& retry) {
+  completion.excluded = retry.excluded;
   this->shared.metrics.Add(Counter::kRetries);
   this->shared.Log(LogLevel::kWarning, "engine lost", completion.trace,
                    {{"upstream", completion.stream.Worker().value},
-                    {"cause", std::string(ToText(wanted.cause))},
-                    {"delivered", std::to_string(wanted.delivered)}});
-  this->Unplace(completion, PlacementEndOf(wanted));
+                    {"cause", std::string(ToText(retry.cause))},
+                    {"delivered", std::to_string(retry.delivered)}});
+  this->ReleasePlacement(completion, PlacementEndOf(retry));
   this->Submit(completion, true);
 }
 
-void CompletionFlow::CarryOut(Completion& completion,
-                              const CancelGeneration& cancel) {
+void CompletionHandler::Execute(Completion& completion,
+                                const CancelGeneration& cancel) {
   HttpCall call;
   call.method = "DELETE";
   call.url =
@@ -187,7 +192,7 @@
 
 // ---- Answers ----
 
-void CompletionFlow::SendHead(Completion& completion) {
+void CompletionHandler::SendHead(Completion& completion) {
   if (completion.head_sent) {
     return;
   }
@@ -200,25 +205,27 @@
                  {"X-Request-Id", completion.trace.trace_id}}});
 }
 
-void CompletionFlow::SendEvent(Completion& completion, const SseEvent& event) {
+void CompletionHandler::SendEvent(Completion& completion,
+                                  const SseEvent& event) {
   this->SendHead(completion);
   this->shared.actions.emplace_back(ReplyBody{completion.id, EncodeSse(event)});
 }
 
-std::string CompletionFlow::MintToken(Completion& completion,
-                                      std::uint64_t offset) {
+std::string CompletionHandler::CreateResumeToken(Completion& completion,
+                                                 std::uint64_t offset) {
   const GenerationId& generation = completion.stream.Generation();
-  if (!completion.minter || completion.minted_generation != generation) {
+  if (!completion.minter || completion.minter_generation != generation) {
     const ResumeToken token{completion.stream.Worker(), generation, 0,
                             this->shared.fleet_version, completion.route.name};
     completion.minter.emplace(this->shared.settings.resume_secret,
                               completion.organisation, token);
-    completion.minted_generation = generation;
+    completion.minter_generation = generation;
   }
   return completion.minter->At(offset);
 }
 
-void CompletionFlow::Unplace(Completion& completion, PlacementEnd end) {
+void CompletionHandler::ReleasePlacement(Completion& completion,
+                                         PlacementEnd end) {
   const bool waiting =
       completion.stream.Phase() == StreamPhase::kWaitingForWorker;
   if (completion.placed || waiting || end == PlacementEnd::kCancelled) {
@@ -227,8 +234,8 @@
   completion.placed = false;
 }
 
-void CompletionFlow::RefuseCaller(Completion& completion, Problem problem) {
-  if (!this->MayAnswer(completion)) {
+void CompletionHandler::FailRequest(Completion& completion, Problem problem) {
+  if (!this->TryFinish(completion)) {
     return;
   }
   this->shared.metrics.Add(Counter::kRefusals);
@@ -244,17 +251,17 @@
   this->Close(completion, Describe(problem.code).name);
 }
 
-bool CompletionFlow::MayAnswer(Completion& completion) {
+bool CompletionHandler::TryFinish(Completion& completion) {
   const FinishResult result = this->shared.requests.Finish(completion.id);
   if (result == FinishResult::kSend) {
     return true;
   }
-  this->shared.metrics.Add(Counter::kAnswersSuppressed);
+  this->shared.metrics.Add(Counter::kResponsesSuppressed);
   this->Close(completion, ToText(result));
   return false;
 }
 
-void CompletionFlow::Close(Completion& completion, std::string_view result) {
+void CompletionHandler::Close(Completion& completion, std::string_view result) {
   this->SetWakeup(completion, kNever);
   const StreamCounts& counts = completion.stream.Counts();
   this->shared.metrics.Add(
--- a/src/entry/detail/call_table.h
+++ b/src/entry/detail/call_table.h
@@ -32,7 +32,7 @@
   /// @param owner whose call it is
   /// @return an id never used before by this host
   CallId Open(CallOwner owner) {
-    const CallId id{++this->last};
+    const CallId id{++this->last_id};
     this->owners.emplace(id, std::move(owner));
     return id;
   }
@@ -48,7 +48,7 @@
   void Close(CallId id) { this->owners.erase(id); }
 
  private:
-  std::uint64_t last = 0;
+  std::uint64_t last_id = 0;
   std::unordered_map<CallId, CallOwner> owners;
 };
 
--- a/src/entry/detail/caller_access.h
+++ b/src/entry/detail/caller_access.h
@@ -14,7 +14,7 @@
 
 /// @brief Reads the bearer key of a request.
 /// @return the key, or request.103 when there is none
-absl::StatusOr<std::string> BearerKey(const Headers& headers);
+absl::StatusOr<std::string> ParseBearerKey(const Headers& headers);
 
 /// @brief Finds the organisation that a request's key belongs to. Compares
 /// every digest in
@@ -37,7 +37,8 @@
 /// @param max_wait the longest that is granted
 /// @return the wait; request.108 when it is 0 or less; request.101 when it is
 /// no number
-absl::StatusOr<Duration> CallerWait(const Headers& headers,
-                                    Duration default_wait, Duration max_wait);
+absl::StatusOr<Duration> ParsePreferredWait(const Headers& headers,
+                                            Duration default_wait,
+                                            Duration max_wait);
 
 }  // namespace limpetlink
--- a/src/entry/detail/cluster_flow.h
+++ b/src/entry/detail/cluster_flow.h
@@ -32,10 +32,10 @@
 
 /// @brief Keeps document and membership current and tells the dispatcher what
 /// follows.
-class ClusterFlow {
+class ClusterSync {
  public:
   /// @param shared the host's state; outlives the flow
-  explicit ClusterFlow(HostContext& shared);
+  explicit ClusterSync(HostContext& shared);
 
   /// @brief Begins: reads the document, joins the other hosts.
   void Start();
@@ -54,8 +54,8 @@
 
   /// @brief Notes what a source says of an upstream and spreads it when it
   /// changed.
-  void NoteUpstream(const UpstreamId& upstream, LeavingSource source,
-                    bool leaves);
+  void UpdateLeaving(const UpstreamId& upstream, LeavingSource source,
+                     bool is_leaving);
 
   /// @brief Lets time pass and carries on what the slices ordered.
   void Tick();
@@ -88,16 +88,16 @@
   std::function<void()> on_change;
 
  private:
-  void Carry(const MembershipAction& action);
-  void Carry(const ConfigurationAction& action);
+  void Execute(const MembershipAction& action);
+  void Execute(const ConfigurationAction& action);
   void OnLiveHosts(const LiveHostsChanged& change);
-  void OnHostList(const HostListRead& list);
+  void OnHostList(const HostListRead& host_list);
   void OnBroadcast(const Broadcast& item);
   absl::Status Validate(std::string_view text);
-  void Adopt(const ConfigurationAdopted& adopted);
+  void ApplyDocument(const ConfigurationAdopted& applied);
   void SendToPeer(const HostId& to, PeerKind kind, std::string payload);
-  void SetLeaving(const UpstreamId& upstream, LeavingSource source,
-                  bool leaves);
+  void ApplyLeaving(const UpstreamId& upstream, LeavingSource source,
+                    bool is_leaving);
 
   HostContext& shared;
   std::string
@@ -106,11 +106,11 @@
   MetadataStoreClient platform;
   ConfigurationStore configuration;
   Membership membership;
-  PeerGate gate;
+  PeerGate peer_gate;
   std::map<UpstreamId, std::set<LeavingSource>>
       leaving;  ///< upstreams that leave, and who says so
   std::map<std::string, std::uint64_t>
-      sign_versions;  ///< by the broadcast's key
+      broadcast_versions;  ///< by the broadcast's key
 };
 
 }  // namespace limpetlink
--- a/src/entry/detail/completion.h
+++ b/src/entry/detail/completion.h
@@ -34,7 +34,7 @@
   OrganisationId organisation;
   Route route;
   CompletionBody body;
-  AnswerHeader header;
+  ResponseMetadata metadata;
   std::optional<ChunkWriter> chunks;
   TraceContext trace;
   Instant arrived;
@@ -44,10 +44,10 @@
   std::uint32_t prompt_tokens = 0;
   GenerationCall call;
   std::optional<ResumeTokenMinter> minter;  ///< of the generation in force
-  GenerationId minted_generation;
+  GenerationId minter_generation;
   std::string url;  ///< of the worker in force
   std::int32_t priority = 0;
-  std::string collected;      ///< the answer so far, when it is not streamed
+  std::string buffered_text;  ///< the answer so far, when it is not streamed
   std::uint32_t tokens = 0;   ///< of the generation in force
   Duration expected_wait{0};  ///< last told by the dispatcher
   bool placed = false;        ///< the dispatcher counts it at a worker
--- a/src/entry/detail/completion_body.h
+++ b/src/entry/detail/completion_body.h
@@ -40,11 +40,11 @@
 /// @param model the model, since caches are apart
 /// @param prompt the prompt
 /// @return a hash for each whole block, at most 16
-std::vector<std::uint64_t> PrefixBlocks(std::string_view model,
-                                        std::string_view prompt);
+std::vector<std::uint64_t> HashPrefixBlocks(std::string_view model,
+                                            std::string_view prompt);
 
 /// @brief What stays equal in every chunk of one answer.
-struct AnswerHeader {
+struct ResponseMetadata {
   CompletionKind kind = CompletionKind::kText;
   std::string id;
   std::string model;
@@ -55,22 +55,22 @@
 class ChunkWriter {
  public:
   /// @param header the answer's own values
-  explicit ChunkWriter(const AnswerHeader& header);
+  explicit ChunkWriter(const ResponseMetadata& metadata);
 
   /// @brief Writes a token's chunk.
   /// @param text the token's text
   /// @return JSON text on one line. Linear in the text's length.
-  std::string Token(std::string_view text) const;
+  std::string TokenChunk(std::string_view text) const;
 
   /// @brief Writes the last chunk.
   /// @param finish_reason why the generation ended
   /// @return JSON text on one line
-  std::string Finish(std::string_view finish_reason) const;
+  std::string FinalChunk(std::string_view finish_reason) const;
 
  private:
-  AnswerHeader header;
-  std::string before_text;
-  std::string after_text;
+  ResponseMetadata metadata;
+  std::string chunk_prefix;
+  std::string chunk_suffix;
 };
 
 /// @brief Writes a whole answer.
@@ -80,9 +80,10 @@
 /// @param prompt_tokens estimated
 /// @param output_tokens counted
 /// @return JSON text
-std::string WriteWholeAnswer(const AnswerHeader& header, std::string_view text,
-                             std::string_view finish_reason,
-                             std::uint32_t prompt_tokens,
-                             std::uint32_t output_tokens);
+std::string RenderCompletionResponse(const ResponseMetadata& metadata,
+                                     std::string_view text,
+                                     std::string_view finish_reason,
+                                     std::uint32_t prompt_tokens,
+                                     std::uint32_t output_tokens);
 
 }  // namespace limpetlink
--- a/src/entry/detail/completion_flow.h
+++ b/src/entry/detail/completion_flow.h
@@ -14,13 +14,13 @@
 namespace limpetlink {
 
 /// @brief Serves /v1/completions and /v1/chat/completions.
-class CompletionFlow {
+class CompletionHandler {
  public:
   /// @param shared the host's state; outlives the flow
-  explicit CompletionFlow(HostContext& shared);
+  explicit CompletionHandler(HostContext& shared);
 
   /// @brief Takes a caller's request; it is answered at once or kept.
-  void Receive(const CallerRequest& request, CompletionKind kind);
+  void Handle(const CallerRequest& request, CompletionKind kind);
 
   /// @return whether a request is one of this flow's
   bool Owns(RequestId id) const;
@@ -55,27 +55,28 @@
 
  private:
   absl::Status Accept(const CallerRequest& request, CompletionKind kind);
-  absl::Status TakeUp(const CallerRequest& request, Completion& completion);
+  absl::Status StartOrResume(const CallerRequest& request,
+                             Completion& completion);
   void Submit(const Completion& completion, bool is_retry);
-  void Advance(Completion& completion, StreamMessage message);
-  void CarryOut(Completion& completion, const StartCall& start);
-  void CarryOut(Completion& completion, const ResumeCall& resume);
-  void CarryOut(Completion& completion, const AbandonCall& abandon);
-  void CarryOut(Completion& completion, const PauseCall& pause);
-  void CarryOut(Completion& completion, const DeliverToken& token);
-  void CarryOut(Completion& completion, const FinishStream& finish);
-  void CarryOut(Completion& completion, const EndIncomplete& end);
-  void CarryOut(Completion& completion, const RestartStream& restart);
-  void CarryOut(Completion& completion, const RequestNewWorker& wanted);
-  void CarryOut(Completion& completion, const CancelGeneration& cancel);
+  void StepStream(Completion& completion, StreamMessage message);
+  void Execute(Completion& completion, const StartCall& start);
+  void Execute(Completion& completion, const ResumeCall& resume);
+  void Execute(Completion& completion, const AbandonCall& abandon);
+  void Execute(Completion& completion, const PauseCall& pause);
+  void Execute(Completion& completion, const DeliverToken& token);
+  void Execute(Completion& completion, const FinishStream& finish);
+  void Execute(Completion& completion, const EndIncomplete& end);
+  void Execute(Completion& completion, const RestartStream& restart);
+  void Execute(Completion& completion, const RequestNewWorker& retry);
+  void Execute(Completion& completion, const CancelGeneration& cancel);
   void OpenCall(Completion& completion, StreamAttempt attempt, HttpCall call);
   void CloseCall(Completion& completion, std::string_view result);
   void SendHead(Completion& completion);
   void SendEvent(Completion& completion, const SseEvent& event);
-  std::string MintToken(Completion& completion, std::uint64_t offset);
-  void Unplace(Completion& completion, PlacementEnd end);
-  void RefuseCaller(Completion& completion, Problem problem);
-  bool MayAnswer(Completion& completion);
+  std::string CreateResumeToken(Completion& completion, std::uint64_t offset);
+  void ReleasePlacement(Completion& completion, PlacementEnd end);
+  void FailRequest(Completion& completion, Problem problem);
+  bool TryFinish(Completion& completion);
   void Close(Completion& completion, std::string_view result);
   void SetWakeup(Completion& completion, Instant at);
 
--- a/src/entry/detail/host_context.h
+++ b/src/entry/detail/host_context.h
@@ -63,12 +63,12 @@
   RequestTable requests;
   HostMetrics metrics;
   bool draining = false;
-  Instant woke_at =
+  Instant pause_detected_at =
       Instant::min();  ///< when this host last noticed that it had been paused
 
   /// @return whether the host was paused a moment ago, so that others may have
   /// taken its work up
-  bool WokeJustNow() const;
+  bool RecentlyPaused() const;
 };
 
 }  // namespace limpetlink
--- a/src/entry/detail/host_metrics.h
+++ b/src/entry/detail/host_metrics.h
@@ -23,7 +23,7 @@
   kRetries,
   kReplays,
   kDeadlinesReached,
-  kAnswersSuppressed,
+  kResponsesSuppressed,
   kMalformedInput,
   kPeerFramesRefused,
   kDocumentsApplied,
--- a/src/entry/detail/log_storage.h
+++ b/src/entry/detail/log_storage.h
@@ -29,19 +29,20 @@
   /// @return the log operations that ended by it: one, or none when the
   /// operation was not of the
   ///         log or goes on with the next page of a list
-  std::vector<LogOperationResult> Take(Instant now, const StoreResult& result);
+  std::vector<LogOperationResult> OnStoreResult(Instant now,
+                                                const StoreResult& result);
 
  private:
-  struct Open {
+  struct OpenOperation {
     LogOperationId operation;
     std::string prefix;              ///< of a list
     std::vector<std::string> names;  ///< pages of a list so far
   };
 
-  void NextPage(Instant now, Open list);
+  void RequestNextPage(Instant now, OpenOperation list);
 
   MetadataStoreClient& platform;
-  std::map<StoreOp, Open> open;
+  std::map<StoreOp, OpenOperation> open_operations;
 };
 
 }  // namespace limpetlink
--- a/src/entry/detail/operator_pages.h
+++ b/src/entry/detail/operator_pages.h
@@ -11,27 +11,27 @@
 
 /// @brief Serves /healthz, /readyz, /metrics, /v1/requests, /v1/status and
 /// /v1/drain.
-class OperatorPages {
+class OperatorEndpoints {
  public:
   /// @param shared the host's state; outlives the pages
   /// @param cluster document and membership; outlives the pages
   /// @param drain begins a graceful shutdown
-  OperatorPages(HostContext& shared, const ClusterFlow& cluster,
-                std::function<void()> drain);
+  OperatorEndpoints(HostContext& shared, const ClusterSync& cluster,
+                    std::function<void()> begin_drain);
 
   /// @brief Answers a request for one of the pages.
   /// @return false when the path is none of them
-  bool Receive(const CallerRequest& request);
+  bool Handle(const CallerRequest& request);
 
  private:
-  void Ready(RequestId id);
-  void Status(RequestId id);
-  void Requests(const CallerRequest& request);
-  void Drain(const CallerRequest& request);
+  void ReplyReadiness(RequestId id);
+  void ReplyStatus(RequestId id);
+  void ReplyRequests(const CallerRequest& request);
+  void HandleDrain(const CallerRequest& request);
 
   HostContext& shared;
-  const ClusterFlow& cluster;
-  std::function<void()> drain;
+  const ClusterSync& cluster;
+  std::function<void()> begin_drain;
 };
 
 }  // namespace limpetlink
--- a/src/entry/detail/reply.h
+++ b/src/entry/detail/reply.h
@@ -16,8 +16,8 @@
 /// @param status HTTP status
 /// @param content_type the body's media type
 /// @param body the body
-void ReplyWhole(Actions& actions, RequestId id, int status,
-                std::string content_type, std::string body);
+void ReplyWithBody(Actions& actions, RequestId id, int status,
+                   std::string content_type, std::string body);
 
 /// @brief Answers with JSON.
 void ReplyJson(Actions& actions, RequestId id, int status,
@@ -34,6 +34,6 @@
 /// @brief Gives the value of a Retry-After header.
 /// @param wait how long to wait
 /// @return whole seconds, rounded up, at least 1
-std::string RetryAfterText(Duration wait);
+std::string RetryAfterValue(Duration wait);
 
 }  // namespace limpetlink
--- a/src/entry/detail/service_flow.h
+++ b/src/entry/detail/service_flow.h
@@ -16,11 +16,11 @@
 namespace limpetlink {
 
 /// @brief Serves /v1/services/{service}/...
-class ServiceFlow {
+class ServiceHandler {
  public:
   /// @param shared the host's state; outlives the flow
   /// @param platform keeps the idempotency log; outlives the flow
-  ServiceFlow(HostContext& shared, MetadataStoreClient& platform);
+  ServiceHandler(HostContext& shared, MetadataStoreClient& platform);
 
   /// @return whether a path is one of this flow's
   static bool IsServicePath(std::string_view path);
@@ -31,7 +31,7 @@
   static Outcome RefusalOutcome(const Headers& headers);
 
   /// @brief Takes a caller's request; it is answered at once or kept.
-  void Receive(const CallerRequest& request);
+  void Handle(const CallerRequest& request);
 
   /// @return whether a request, or a copy of it, is one of this flow's
   bool Owns(RequestId id) const;
@@ -65,20 +65,23 @@
  private:
   absl::Status Accept(const CallerRequest& request);
   void Submit(ServiceRequest& request, RequestId dispatch_id, bool is_retry);
-  void OpenCall(ServiceRequest& request, ServiceLeg& leg, const Place& place);
-  void TakeAnswer(ServiceRequest& request, std::size_t index);
-  void FailLeg(ServiceRequest& request, std::size_t index, PlacementEnd end);
-  void DropLeg(ServiceRequest& request, std::size_t index, PlacementEnd end);
-  void DropLegs(ServiceRequest& request, PlacementEnd end);
-  void EndLegSpan(const ServiceLeg& leg, std::string_view result);
+  void OpenCall(ServiceRequest& request, ServiceAttempt& attempt,
+                const Place& place);
+  void HandleResponse(ServiceRequest& request, std::size_t index);
+  void FailAttempt(ServiceRequest& request, std::size_t index,
+                   PlacementEnd end);
+  void EndAttempt(ServiceRequest& request, std::size_t index, PlacementEnd end);
+  void EndAllAttempts(ServiceRequest& request, PlacementEnd end);
+  void FinishAttemptSpan(const ServiceAttempt& attempt,
+                         std::string_view result);
   void StartHedge(ServiceRequest& request);
-  void RecordEnd(ServiceRequest& request);
-  void RefuseCaller(ServiceRequest& request, Problem problem);
-  void AnswerCaller(ServiceRequest& request, int status, const Headers& headers,
-                    const std::string& body, bool replayed);
+  void RecordFailure(ServiceRequest& request);
+  void FailRequest(ServiceRequest& request, Problem problem);
+  void Respond(ServiceRequest& request, int status, const Headers& headers,
+               const std::string& body, bool replayed);
   void Close(ServiceRequest& request, std::string_view result);
   void StepLog(const LogMessage& message);
-  void CarryLog(const LogAction& action);
+  void ExecuteLogAction(const LogAction& action);
 
   HostContext& shared;
   IdempotencyLog log;
--- a/src/entry/detail/service_request.h
+++ b/src/entry/detail/service_request.h
@@ -18,7 +18,7 @@
 
 /// @brief One copy of a request on its way to an upstream. A hedged lookup has
 /// two.
-struct ServiceLeg {
+struct ServiceAttempt {
   RequestId dispatch_id;  ///< what the dispatcher knows it by
   bool placed = false;
   UpstreamId worker;
@@ -27,7 +27,7 @@
   Instant started;
   int status = 0;
   Headers headers;
-  std::string answer;
+  std::string response_body;
 };
 
 /// @brief All that the host keeps of one request to a service.
@@ -45,18 +45,18 @@
   bool idempotent = false;
   std::string
       key;  ///< idempotency key of a request that is not idempotent; or empty
-  bool claiming = false;  ///< the log has not decided yet
-  bool claimed = false;   ///< the log let it through; its end must be recorded
+  bool claim_pending = false;  ///< the log has not decided yet
+  bool claimed = false;  ///< the log let it through; its end must be recorded
   bool may_have_run = false;  ///< bytes may have reached an upstream
   bool caller_left = false;
-  std::uint32_t attempts = 0;
+  std::uint32_t attempt_count = 0;
   std::vector<UpstreamId> excluded;
   TraceContext trace;
   Instant arrived;
   Instant deadline;
   Instant hedge_at = kNever;
   Duration expected_wait{0};
-  std::vector<ServiceLeg> legs;
+  std::vector<ServiceAttempt> open_attempts;
 };
 
 /// @brief Where a path under /v1/services/ leads.
--- a/src/entry/detail/worker_reports.h
+++ b/src/entry/detail/worker_reports.h
@@ -14,21 +14,22 @@
 /// @brief Asks each owned worker for its load, each at an interval that keeps
 /// the sum of bytes a
 ///        second within bounds, and hands reports to the dispatcher.
-class WorkerReports {
+class WorkerReportPoller {
  public:
   /// @brief Takes whether a worker's own report says that it drains.
-  using DrainHook =
+  using DrainingHook =
       std::function<void(const UpstreamId& worker, bool draining)>;
 
   /// @brief Says whether the view of the hosts, and so who owns which worker,
   /// can be trusted.
-  using SettledHook = std::function<bool()>;
+  using MembershipCurrentHook = std::function<bool()>;
 
   /// @param shared the host's state; outlives this
   /// @param on_drain told with each report
   /// @param settled asked before any worker is; a host that just started would
   /// ask them all
-  WorkerReports(HostContext& shared, DrainHook on_drain, SettledHook settled);
+  WorkerReportPoller(HostContext& shared, DrainingHook on_draining,
+                     MembershipCurrentHook membership_current);
 
   /// @brief Asks the dispatcher anew which workers this host owns: the document
   /// or the live hosts
@@ -51,17 +52,17 @@
     std::string url;
     CallId call;  ///< 0: none is open
     int status = 0;
-    std::string answer;
+    std::string response_body;
     Instant due;
   };
 
-  Duration Interval() const;
-  void Read(const UpstreamId& worker, const Poll& poll);
+  Duration PollInterval() const;
+  void HandleReport(const UpstreamId& worker, const Poll& poll);
 
   HostContext& shared;
-  DrainHook on_drain;
-  SettledHook settled;
-  bool refresh_due = false;  ///< waits for the view of the hosts to settle
+  DrainingHook on_draining;
+  MembershipCurrentHook membership_current;
+  bool refresh_pending = false;  ///< waits for the view of the hosts to settle
   std::map<UpstreamId, Poll> polls;
 };
 
--- a/src/entry/entry_host.cc
+++ b/src/entry/entry_host.cc
@@ -20,35 +20,35 @@
         cluster(shared),
         completions(shared),
         services(shared, cluster.Platform()),
-        reports(
+        report_poller(
             shared,
             [this](const UpstreamId& worker, bool draining) {
-              this->cluster.NoteUpstream(worker, LeavingSource::kReport,
-                                         draining);
+              this->cluster.UpdateLeaving(worker, LeavingSource::kReport,
+                                          draining);
             },
             [this] { return this->cluster.Members().Current(); }),
-        pages(shared, cluster, [this] { this->BeginDrain(); }) {
+        endpoints(shared, cluster, [this] { this->BeginDrain(); }) {
     this->cluster.on_platform_result = [this](const StoreResult& result) {
       this->services.OnPlatform(result);
     };
-    this->cluster.on_change = [this] { this->reports.Refresh(); };
+    this->cluster.on_change = [this] { this->report_poller.Refresh(); };
   }
 
   Actions Start(Instant now) {
     this->shared.now = now;
-    this->last_step = now;
+    this->last_step_at = now;
     this->cluster.Start();
-    return this->Settle();
+    return this->CollectActions();
   }
 
   Actions Step(Instant now, const Event& event) {
-    this->Begin(now);
-    std::visit([this](const auto& content) { this->On(content); }, event);
-    return this->Settle();
+    this->BeginStep(now);
+    std::visit([this](const auto& content) { this->OnEvent(content); }, event);
+    return this->CollectActions();
   }
 
   Actions Tick(Instant now) {
-    this->Begin(now);
+    this->BeginStep(now);
     for (const RequestId id : this->shared.requests.Expire(now)) {
       if (this->completions.Owns(id)) {
         this->completions.OnDeadline(id);
@@ -67,14 +67,14 @@
     this->completions.Tick();
     this->services.Tick();
     this->cluster.Tick();
-    this->reports.Tick();
-    return this->Settle();
+    this->report_poller.Tick();
+    return this->CollectActions();
   }
 
   Actions Drain(Instant now) {
     this->shared.now = now;
     this->BeginDrain();
-    return this->Settle();
+    return this->CollectActions();
   }
 
   Instant NextWakeup() const {
@@ -82,7 +82,7 @@
                      this->shared.dispatcher.NextWakeup(),
                      this->completions.NextWakeup(),
                      this->services.NextWakeup(), this->cluster.NextWakeup(),
-                     this->reports.NextWakeup()});
+                     this->report_poller.NextWakeup()});
   }
 
   bool Drained() const {
@@ -93,13 +93,13 @@
  private:
   /// Notices a pause before anything is decided: membership and document
   /// refresh first.
-  void Begin(Instant now) {
+  void BeginStep(Instant now) {
     constexpr Duration kPauseMargin = std::chrono::seconds(3);
-    const bool paused = now - this->last_step > kPauseMargin;
+    const bool paused = now - this->last_step_at > kPauseMargin;
     this->shared.now = now;
-    this->last_step = now;
+    this->last_step_at = now;
     if (paused) {
-      this->shared.woke_at = now;
+      this->shared.pause_detected_at = now;
       this->cluster.Tick();
     }
   }
@@ -113,31 +113,31 @@
 
   // ---- Callers ----
 
-  void On(const CallerRequest& request) {
+  void OnEvent(const CallerRequest& request) {
     this->shared.metrics.Add(Counter::kRequests);
-    if (this->pages.Receive(request)) {
+    if (this->endpoints.Handle(request)) {
       return;
     }
-    const std::optional<Problem> refusal = this->RefuseEarly(request);
+    const std::optional<Problem> refusal = this->PrecheckRequest(request);
     if (refusal) {
       this->shared.metrics.Add(Counter::kRefusals);
       ReplyProblem(this->shared.actions, request.id, *refusal);
       return;
     }
     if (request.path == "/v1/completions") {
-      this->completions.Receive(request, CompletionKind::kText);
+      this->completions.Handle(request, CompletionKind::kText);
     } else if (request.path == "/v1/chat/completions") {
-      this->completions.Receive(request, CompletionKind::kChat);
+      this->completions.Handle(request, CompletionKind::kChat);
     } else {
-      this->services.Receive(request);
+      this->services.Handle(request);
     }
   }
 
   /// Reasons that hold before anybody looks into the request.
-  std::optional<Problem> RefuseEarly(const CallerRequest& request) const {
+  std::optional<Problem> PrecheckRequest(const CallerRequest& request) const {
     const bool completion = request.path == "/v1/completions" ||
                             request.path == "/v1/chat/completions";
-    if (!completion && !ServiceFlow::IsServicePath(request.path)) {
+    if (!completion && !ServiceHandler::IsServicePath(request.path)) {
       return Problem{
           ErrorCode::kRequestUnknownRoute, Outcome::kNotRun, request.path, {}};
     }
@@ -153,9 +153,9 @@
                      "send a smaller body",
                      {}};
     }
-    const Outcome outcome = completion
-                                ? Outcome::kNotRun
-                                : ServiceFlow::RefusalOutcome(request.headers);
+    const Outcome outcome =
+        completion ? Outcome::kNotRun
+                   : ServiceHandler::RefusalOutcome(request.headers);
     if (this->shared.draining) {
       return Problem{ErrorCode::kHostShuttingDown, outcome, "ask another host",
                      std::chrono::seconds(1)};
@@ -168,7 +168,7 @@
     return std::nullopt;
   }
 
-  void On(const CallerGone& gone) {
+  void OnEvent(const CallerGone& gone) {
     if (this->completions.Owns(gone.id)) {
       this->completions.OnCallerGone(gone.id);
     } else if (this->services.Owns(gone.id)) {
@@ -176,7 +176,7 @@
     }
   }
 
-  void On(const CallerDrained& drained) {
+  void OnEvent(const CallerDrained& drained) {
     if (this->completions.Owns(drained.id)) {
       this->completions.OnCallerDrained(drained);
     }
@@ -184,7 +184,7 @@
 
   // ---- HTTP calls ----
 
-  void On(const HttpHead& head) {
+  void OnEvent(const HttpHead& head) {
     const CallOwner* owner = this->shared.calls.Find(head.id);
     if (owner == nullptr) {
       return;
@@ -200,14 +200,14 @@
         this->cluster.OnHead(head);
         break;
       case CallPurpose::kWorkerReport:
-        this->reports.OnHead(owner->worker, head);
+        this->report_poller.OnHead(owner->worker, head);
         break;
       case CallPurpose::kDetached:
         break;
     }
   }
 
-  void On(const HttpChunk& chunk) {
+  void OnEvent(const HttpChunk& chunk) {
     const CallOwner* owner = this->shared.calls.Find(chunk.id);
     if (owner == nullptr) {
       return;
@@ -223,14 +223,14 @@
         this->cluster.OnChunk(chunk);
         break;
       case CallPurpose::kWorkerReport:
-        this->reports.OnChunk(owner->worker, chunk);
+        this->report_poller.OnChunk(owner->worker, chunk);
         break;
       case CallPurpose::kDetached:
         break;
     }
   }
 
-  void On(const HttpDone& done) {
+  void OnEvent(const HttpDone& done) {
     const CallOwner* found = this->shared.calls.Find(done.id);
     if (found == nullptr) {
       return;
@@ -247,7 +247,7 @@
         this->cluster.OnDone(done);
         break;
       case CallPurpose::kWorkerReport:
-        this->reports.OnDone(owner.worker, done);
+        this->report_poller.OnDone(owner.worker, done);
         break;
       case CallPurpose::kDetached:
         this->shared.calls.Close(done.id);
@@ -255,25 +255,27 @@
     }
   }
 
-  void On(const PeerFrame& frame) { this->cluster.OnPeerFrame(frame); }
+  void OnEvent(const PeerFrame& frame) { this->cluster.OnPeerFrame(frame); }
 
-  void On(const WallClockRead& clock) { this->services.OnWallClock(clock); }
+  void OnEvent(const WallClockRead& clock) {
+    this->services.OnWallClock(clock);
+  }
 
   // ---- Decisions ----
 
-  Actions Settle() {
+  Actions CollectActions() {
     this->cluster.Flush();
     while (!this->shared.decisions.empty()) {
       const DispatchAction decision = std::move(this->shared.decisions.front());
       this->shared.decisions.pop_front();
-      std::visit([this](const auto& content) { this->Decide(content); },
+      std::visit([this](const auto& content) { this->OnDecision(content); },
                  decision);
       this->cluster.Flush();
     }
     return std::exchange(this->shared.actions, {});
   }
 
-  void Decide(const Place& place) {
+  void OnDecision(const Place& place) {
     if (this->completions.Owns(place.request)) {
       this->completions.OnPlace(place);
     } else if (this->services.Owns(place.request)) {
@@ -285,7 +287,7 @@
     }
   }
 
-  void Decide(const Refuse& refuse) {
+  void OnDecision(const Refuse& refuse) {
     if (this->completions.Owns(refuse.request)) {
       this->completions.OnRefuse(refuse);
     } else if (this->services.Owns(refuse.request)) {
@@ -293,7 +295,7 @@
     }
   }
 
-  void Decide(const Waiting& waiting) {
+  void OnDecision(const Waiting& waiting) {
     if (this->completions.Owns(waiting.request)) {
       this->completions.OnWaiting(waiting);
     } else if (this->services.Owns(waiting.request)) {
@@ -301,21 +303,23 @@
     }
   }
 
-  void Decide(const SetPriority& priority) {
+  void OnDecision(const SetPriority& priority) {
     if (this->completions.Owns(priority.request)) {
       this->completions.OnSetPriority(priority);
     }
   }
 
-  void Decide(const DispatchSend& send) { this->cluster.SendDispatch(send); }
+  void OnDecision(const DispatchSend& send) {
+    this->cluster.SendDispatch(send);
+  }
 
-  Instant last_step;
+  Instant last_step_at;
   HostContext shared;
-  ClusterFlow cluster;
-  CompletionFlow completions;
-  ServiceFlow services;
-  WorkerReports reports;
-  OperatorPages pages;
+  ClusterSync cluster;
+  CompletionHandler completions;
+  ServiceHandler services;
+  WorkerReportPoller report_poller;
+  OperatorEndpoints endpoints;
 };
 
 EntryHost::EntryHost(EntryHostSettings settings)
--- a/src/entry/host_context.cc
+++ b/src/entry/host_context.cc
@@ -55,9 +55,10 @@
                  std::move(name), start, this->now, std::move(attributes)});
 }
 
-bool HostContext::WokeJustNow() const {
-  constexpr Duration kMoment = std::chrono::seconds(10);
-  return this->woke_at != Instant::min() && this->now - this->woke_at < kMoment;
+bool HostContext::RecentlyPaused() const {
+  constexpr Duration kRecentPauseWindow = std::chrono::seconds(10);
+  return this->pause_detected_at != Instant::min() &&
+         this->now - this->pause_detected_at < kRecentPauseWindow;
 }
 
 const Upstream* HostContext::FindUpstream(const UpstreamId& id) const {
--- a/src/entry/log_storage.cc
+++ b/src/entry/log_storage.cc
@@ -5,14 +5,14 @@
 namespace limpetlink {
 namespace {
 
-const std::string& Kind() {
+const std::string& ObjectKind() {
   static const std::string kind = "idempotency";
   return kind;
 }
 
-constexpr std::uint32_t kPageRows = 1000;
+constexpr std::uint32_t kPageSize = 1000;
 
-LogOperationEnd EndOf(const StoreResult& result) {
+LogOperationEnd LogOperationEndOf(const StoreResult& result) {
   const bool write =
       result.verb == StoreVerb::kPut || result.verb == StoreVerb::kDelete;
   switch (result.status) {
@@ -48,50 +48,52 @@
 LogStorage::LogStorage(MetadataStoreClient& platform) : platform(platform) {}
 
 void LogStorage::Start(Instant now, const LogCreate& create) {
-  const StoreOp op = this->platform.Put(
-      now, {Kind(), create.name}, create.bytes, WriteCondition::IfAbsent());
-  this->open.emplace(op, Open{create.operation, {}, {}});
+  const StoreOp op =
+      this->platform.Put(now, {ObjectKind(), create.name}, create.bytes,
+                         WriteCondition::IfAbsent());
+  this->open_operations.emplace(op, OpenOperation{create.operation, {}, {}});
 }
 
 void LogStorage::Start(Instant now, const LogRead& read) {
-  const StoreOp op = this->platform.Get(now, {Kind(), read.name});
-  this->open.emplace(op, Open{read.operation, {}, {}});
+  const StoreOp op = this->platform.Get(now, {ObjectKind(), read.name});
+  this->open_operations.emplace(op, OpenOperation{read.operation, {}, {}});
 }
 
 void LogStorage::Start(Instant now, const LogList& list) {
-  this->NextPage(now, Open{list.operation, list.prefix, {}});
+  this->RequestNextPage(now, OpenOperation{list.operation, list.prefix, {}});
 }
 
 void LogStorage::Start(Instant now, const LogDelete& remove) {
-  const StoreOp op = this->platform.Delete(now, {Kind(), remove.name}, {});
-  this->open.emplace(op, Open{remove.operation, {}, {}});
+  const StoreOp op =
+      this->platform.Delete(now, {ObjectKind(), remove.name}, {});
+  this->open_operations.emplace(op, OpenOperation{remove.operation, {}, {}});
 }
 
-void LogStorage::NextPage(Instant now, Open list) {
+void LogStorage::RequestNextPage(Instant now, OpenOperation list) {
   const std::string after =
       list.names.empty() ? std::string() : list.names.back();
   const StoreOp op =
-      this->platform.List(now, Kind(), list.prefix, after, kPageRows);
-  this->open.emplace(op, std::move(list));
+      this->platform.List(now, ObjectKind(), list.prefix, after, kPageSize);
+  this->open_operations.emplace(op, std::move(list));
 }
 
-std::vector<LogOperationResult> LogStorage::Take(Instant now,
-                                                 const StoreResult& result) {
-  const auto found = this->open.find(result.op);
-  if (found == this->open.end()) {
+std::vector<LogOperationResult> LogStorage::OnStoreResult(
+    Instant now, const StoreResult& result) {
+  const auto found = this->open_operations.find(result.op);
+  if (found == this->open_operations.end()) {
     return {};
   }
-  Open ended = std::move(found->second);
-  this->open.erase(found);
+  OpenOperation finished = std::move(found->second);
+  this->open_operations.erase(found);
   for (const ObjectEntry& entry : result.objects) {
-    ended.names.push_back(entry.name);
+    finished.names.push_back(entry.name);
   }
-  if (result.objects.size() >= kPageRows) {
-    this->NextPage(now, std::move(ended));
+  if (result.objects.size() >= kPageSize) {
+    this->RequestNextPage(now, std::move(finished));
     return {};
   }
-  return {
-      {ended.operation, EndOf(result), result.bytes, std::move(ended.names)}};
+  return {{finished.operation, LogOperationEndOf(result), result.bytes,
+           std::move(finished.names)}};
 }
 
 }  // namespace limpetlink
--- a/src/entry/operator_pages.cc
+++ b/src/entry/operator_pages.cc
@@ -12,31 +12,32 @@
 
 }  // namespace
 
-OperatorPages::OperatorPages(HostContext& shared, const ClusterFlow& cluster,
-                             std::function<void()> drain)
-    : shared(shared), cluster(cluster), drain(std::move(drain)) {}
+OperatorEndpoints::OperatorEndpoints(HostContext& shared,
+                                     const ClusterSync& cluster,
+                                     std::function<void()> begin_drain)
+    : shared(shared), cluster(cluster), begin_drain(std::move(begin_drain)) {}
 
-bool OperatorPages::Receive(const CallerRequest& request) {
+bool OperatorEndpoints::Handle(const CallerRequest& request) {
   if (request.path == "/healthz") {
-    ReplyWhole(this->shared.actions, request.id, 200, "text/plain", "ok\n");
+    ReplyWithBody(this->shared.actions, request.id, 200, "text/plain", "ok\n");
   } else if (request.path == "/readyz") {
-    this->Ready(request.id);
+    this->ReplyReadiness(request.id);
   } else if (request.path == "/metrics") {
-    ReplyWhole(this->shared.actions, request.id, 200,
-               "text/plain; version=0.0.4", this->shared.metrics.Render());
+    ReplyWithBody(this->shared.actions, request.id, 200,
+                  "text/plain; version=0.0.4", this->shared.metrics.Render());
   } else if (request.path == "/v1/status") {
-    this->Status(request.id);
+    this->ReplyStatus(request.id);
   } else if (request.path == "/v1/requests") {
-    this->Requests(request);
+    this->ReplyRequests(request);
   } else if (request.path == "/v1/drain") {
-    this->Drain(request);
+    this->HandleDrain(request);
   } else {
     return false;
   }
   return true;
 }
 
-void OperatorPages::Ready(RequestId id) {
+void OperatorEndpoints::ReplyReadiness(RequestId id) {
   if (this->shared.draining) {
     ReplyProblem(this->shared.actions, id,
                  {ErrorCode::kHostShuttingDown, Outcome::kNotRun, "draining",
@@ -46,11 +47,11 @@
                  {ErrorCode::kFleetNotReady, Outcome::kNotRun,
                   "no newest document yet", std::chrono::seconds(1)});
   } else {
-    ReplyWhole(this->shared.actions, id, 200, "text/plain", "ready\n");
+    ReplyWithBody(this->shared.actions, id, 200, "text/plain", "ready\n");
   }
 }
 
-void OperatorPages::Status(RequestId id) {
+void OperatorEndpoints::ReplyStatus(RequestId id) {
   json live = json::array();
   for (const HostId& host : this->cluster.Members().Live()) {
     live.push_back(host.value);
@@ -70,7 +71,7 @@
   ReplyJson(this->shared.actions, id, 200, status);
 }
 
-void OperatorPages::Drain(const CallerRequest& request) {
+void OperatorEndpoints::HandleDrain(const CallerRequest& request) {
   if (request.method != "POST") {
     ReplyProblem(this->shared.actions, request.id,
                  {ErrorCode::kRequestMethodNotAllowed,
@@ -85,13 +86,13 @@
                   "send the operators' key",
                   {}});
   } else {
-    this->drain();
+    this->begin_drain();
     ReplyJson(this->shared.actions, request.id, 202, {{"draining", true}});
   }
 }
 
-void OperatorPages::Requests(const CallerRequest& request) {
-  std::optional<OrganisationId> only;
+void OperatorEndpoints::ReplyRequests(const CallerRequest& request) {
+  std::optional<OrganisationId> organisation_filter;
   if (!IsOperator(this->shared.settings.operator_key_digest, request.headers)) {
     if (this->shared.document == nullptr) {
       ReplyProblem(this->shared.actions, request.id,
@@ -106,11 +107,11 @@
                    RefusalOf(organisation.status()));
       return;
     }
-    only = (*organisation)->id;
+    organisation_filter = (*organisation)->id;
   }
-  ReplyWhole(
-      this->shared.actions, request.id, 200, "application/json",
-      ToRequestsJson(this->shared.requests.List(only), this->shared.now));
+  ReplyWithBody(this->shared.actions, request.id, 200, "application/json",
+                ToRequestsJson(this->shared.requests.List(organisation_filter),
+                               this->shared.now));
 }
 
 }  // namespace limpetlink
--- a/src/entry/service_flow.cc
+++ b/src/entry/service_flow.cc
@@ -13,19 +13,22 @@
 
 /// Marks the dispatcher's id of a hedged lookup's second copy.
 constexpr std::uint64_t kHedgeBit = std::uint64_t{1} << 63U;
-constexpr std::size_t kMaxAnswerBytes = 8UL * 1024UL * 1024UL;
+constexpr std::size_t kMaxResponseBytes = 8UL * 1024UL * 1024UL;
 constexpr std::uint32_t kMaxAttempts = 3;
 constexpr std::size_t kMaxKeyBytes = 255;
 constexpr Duration kRetryAfterFailure = std::chrono::seconds(1);
-constexpr std::string_view kForwarded[] = {"Content-Type", "Accept",
-                                           "If-None-Match", "Idempotency-Key"};
-constexpr std::string_view kReturned[] = {"Content-Type", "ETag",
-                                          "Cache-Control", "Location"};
+constexpr std::string_view kForwardedHeaders[] = {
+    "Content-Type", "Accept", "If-None-Match", "Idempotency-Key"};
+constexpr std::string_view kReturnedHeaders[] = {"Content-Type", "ETag",
+                                                 "Cache-Control", "Location"};
 
-RequestId CallersId(RequestId id) { return RequestId{id.value & ~kHedgeBit}; }
+RequestId CallerRequestId(RequestId id) {
+  return RequestId{id.value & ~kHedgeBit};
+}
 
 template <std::size_t kSize>
-Headers Select(const Headers& headers, const std::string_view (&names)[kSize]) {
+Headers SelectHeaders(const Headers& headers,
+                      const std::string_view (&names)[kSize]) {
   Headers selected;
   for (const std::string_view name : names) {
     const std::string* value = FindHeader(headers, name);
@@ -52,12 +55,13 @@
 }
 
 /// An upstream that will not run a request says so in the body of a 503.
-bool SaysNotRun(const ServiceLeg& leg) {
+bool IsNotRunResponse(const ServiceAttempt& attempt) {
   constexpr int kUnavailable = 503;
-  if (leg.status != kUnavailable) {
+  if (attempt.status != kUnavailable) {
     return false;
   }
-  const auto body = nlohmann::json::parse(leg.answer, nullptr, false);
+  const auto body =
+      nlohmann::json::parse(attempt.response_body, nullptr, false);
   return body.is_object() && body.contains("outcome") &&
          body["outcome"] == "not_run";
 }
@@ -76,25 +80,26 @@
 
 }  // namespace
 
-ServiceFlow::ServiceFlow(HostContext& shared, MetadataStoreClient& platform)
+ServiceHandler::ServiceHandler(HostContext& shared,
+                               MetadataStoreClient& platform)
     : shared(shared), log(LogOptionsOf(shared.settings)), storage(platform) {}
 
-bool ServiceFlow::IsServicePath(std::string_view path) {
+bool ServiceHandler::IsServicePath(std::string_view path) {
   constexpr std::string_view kPrefix = "/v1/services/";
   return path.substr(0, kPrefix.size()) == kPrefix;
 }
 
-Outcome ServiceFlow::RefusalOutcome(const Headers& headers) {
+Outcome ServiceHandler::RefusalOutcome(const Headers& headers) {
   const bool keyed = FindHeader(headers, "Idempotency-Key") != nullptr;
   return keyed && !IsFirstAttempt(headers) ? Outcome::kUnknown
                                            : Outcome::kNotRun;
 }
 
-bool ServiceFlow::Owns(RequestId id) const {
-  return this->requests.count(CallersId(id)) != 0;
+bool ServiceHandler::Owns(RequestId id) const {
+  return this->requests.count(CallerRequestId(id)) != 0;
 }
 
-void ServiceFlow::Receive(const CallerRequest& request) {
+void ServiceHandler::Handle(const CallerRequest& request) {
   const absl::Status status = this->Accept(request);
   if (status.ok()) {
     return;
@@ -103,7 +108,7 @@
   ReplyProblem(this->shared.actions, request.id, RefusalOf(status));
 }
 
-absl::Status ServiceFlow::Accept(const CallerRequest& request) {
+absl::Status ServiceHandler::Accept(const CallerRequest& request) {
   const FleetDocument& document = *this->shared.document;
   const auto organisation = AuthenticateCaller(document, request.headers);
   if (!organisation.ok()) {
@@ -117,50 +122,50 @@
   if (service == nullptr) {
     return MakeStatus(ErrorCode::kRequestUnknownService, path->service);
   }
-  const auto wait = CallerWait(request.headers, service->default_deadline,
-                               service->max_deadline);
+  const auto wait = ParsePreferredWait(
+      request.headers, service->default_deadline, service->max_deadline);
   if (!wait.ok()) {
     return wait.status();
   }
   const ServiceRule* rule = FindRule(*service, request.method, path->rest);
-  ServiceRequest kept;
-  kept.id = request.id;
-  kept.organisation = (*organisation)->id;
-  kept.service = service->name;
-  kept.rule = rule == nullptr ? std::string() : rule->path_prefix;
-  kept.idempotent = rule != nullptr && rule->idempotent;
-  kept.method = request.method;
-  kept.target = EncodePath(path->rest) +
-                (request.query.empty() ? "" : "?" + request.query);
-  kept.headers = Select(request.headers, kForwarded);
-  kept.body = request.body;
-  kept.trace = BeginTrace(request.headers, this->shared.random);
-  kept.arrived = this->shared.now;
-  kept.deadline = this->shared.now + *wait;
+  ServiceRequest accepted;
+  accepted.id = request.id;
+  accepted.organisation = (*organisation)->id;
+  accepted.service = service->name;
+  accepted.rule = rule == nullptr ? std::string() : rule->path_prefix;
+  accepted.idempotent = rule != nullptr && rule->idempotent;
+  accepted.method = request.method;
+  accepted.target = EncodePath(path->rest) +
+                    (request.query.empty() ? "" : "?" + request.query);
+  accepted.headers = SelectHeaders(request.headers, kForwardedHeaders);
+  accepted.body = request.body;
+  accepted.trace = BeginTrace(request.headers, this->shared.random);
+  accepted.arrived = this->shared.now;
+  accepted.deadline = this->shared.now + *wait;
   const std::string* key = FindHeader(request.headers, "Idempotency-Key");
   if (key != nullptr && (key->empty() || key->size() > kMaxKeyBytes)) {
     return MakeStatus(ErrorCode::kRequestMalformed,
                       "Idempotency-Key: 1 to 255 bytes");
   }
-  if (key != nullptr && !kept.idempotent) {
-    kept.key = *key;
+  if (key != nullptr && !accepted.idempotent) {
+    accepted.key = *key;
   }
   const AdmitResult admitted = this->shared.requests.Admit(
       this->shared.now,
-      {kept.id, kept.organisation,
-       absl::StrCat(kept.method, " ", kept.service, kept.target), kept.deadline,
-       kept.trace.trace_id, false});
+      {accepted.id, accepted.organisation,
+       absl::StrCat(accepted.method, " ", accepted.service, accepted.target),
+       accepted.deadline, accepted.trace.trace_id, false});
   if (admitted != AdmitResult::kAdmitted) {
     return MakeStatus(ErrorCode::kRequestDeadlinePast,
                       "the deadline is not ahead");
   }
   ServiceRequest& stored =
-      this->requests.emplace(kept.id, std::move(kept)).first->second;
+      this->requests.emplace(accepted.id, std::move(accepted)).first->second;
   if (stored.key.empty()) {
     this->Submit(stored, stored.id, false);
     return absl::OkStatus();
   }
-  stored.claiming = true;
+  stored.claim_pending = true;
   this->shared.requests.SetRecording(this->shared.now, stored.id, "intent");
   const ClaimAttempt attempt = IsFirstAttempt(request.headers)
                                    ? ClaimAttempt::kFirst
@@ -170,11 +175,11 @@
   return absl::OkStatus();
 }
 
-void ServiceFlow::Submit(ServiceRequest& request, RequestId dispatch_id,
-                         bool is_retry) {
-  ServiceLeg leg;
-  leg.dispatch_id = dispatch_id;
-  request.legs.push_back(std::move(leg));
+void ServiceHandler::Submit(ServiceRequest& request, RequestId dispatch_id,
+                            bool is_retry) {
+  ServiceAttempt attempt;
+  attempt.dispatch_id = dispatch_id;
+  request.open_attempts.push_back(std::move(attempt));
   SubmitRequest submit;
   submit.request = dispatch_id;
   submit.organisation = request.organisation;
@@ -190,58 +195,60 @@
 
 // ---- Decisions of the dispatcher ----
 
-void ServiceFlow::OnPlace(const Place& place) {
-  ServiceRequest& request = this->requests.at(CallersId(place.request));
-  for (ServiceLeg& leg : request.legs) {
-    if (leg.dispatch_id == place.request) {
-      this->OpenCall(request, leg, place);
+void ServiceHandler::OnPlace(const Place& place) {
+  ServiceRequest& request = this->requests.at(CallerRequestId(place.request));
+  for (ServiceAttempt& attempt : request.open_attempts) {
+    if (attempt.dispatch_id == place.request) {
+      this->OpenCall(request, attempt, place);
       return;
     }
   }
 }
 
-void ServiceFlow::OpenCall(ServiceRequest& request, ServiceLeg& leg,
-                           const Place& place) {
-  leg.placed = true;
-  leg.worker = place.worker;
-  leg.trace = ChildTrace(request.trace, this->shared.random);
-  leg.started = this->shared.now;
-  ++request.attempts;
+void ServiceHandler::OpenCall(ServiceRequest& request, ServiceAttempt& attempt,
+                              const Place& place) {
+  attempt.placed = true;
+  attempt.worker = place.worker;
+  attempt.trace = ChildTrace(request.trace, this->shared.random);
+  attempt.started = this->shared.now;
+  ++request.attempt_count;
   HttpCall call;
   call.method = request.method;
   call.url = place.url + request.target;
   call.headers = request.headers;
-  call.headers.push_back(TraceHeader(leg.trace));
+  call.headers.push_back(TraceHeader(attempt.trace));
   call.body = request.body;
-  leg.call = this->shared.StartHttp(
-      {CallPurpose::kService, leg.dispatch_id, place.worker}, std::move(call));
+  attempt.call = this->shared.StartHttp(
+      {CallPurpose::kService, attempt.dispatch_id, place.worker},
+      std::move(call));
   this->shared.requests.SetRunning(this->shared.now, request.id,
                                    place.worker.value);
   this->shared.metrics.Record(Timing::kQueueWait,
                               this->shared.now - request.arrived);
-  if (request.idempotent && request.legs.size() == 1) {
+  if (request.idempotent && request.open_attempts.size() == 1) {
     const std::optional<Duration> delay =
         this->shared.dispatcher.HedgeDelay(request.service, request.rule);
     request.hedge_at = delay ? this->shared.now + *delay : kNever;
   }
 }
 
-void ServiceFlow::OnRefuse(const Refuse& refuse) {
-  ServiceRequest& request = this->requests.at(CallersId(refuse.request));
-  const bool other_leg_runs = request.legs.size() > 1;
-  request.legs.erase(std::remove_if(request.legs.begin(), request.legs.end(),
-                                    [&](const ServiceLeg& leg) {
-                                      return leg.dispatch_id == refuse.request;
-                                    }),
-                     request.legs.end());
-  if (!other_leg_runs) {
-    this->RecordEnd(request);
-    this->RefuseCaller(request, refuse.problem);
+void ServiceHandler::OnRefuse(const Refuse& refuse) {
+  ServiceRequest& request = this->requests.at(CallerRequestId(refuse.request));
+  const bool other_attempt_open = request.open_attempts.size() > 1;
+  request.open_attempts.erase(
+      std::remove_if(request.open_attempts.begin(), request.open_attempts.end(),
+                     [&](const ServiceAttempt& attempt) {
+                       return attempt.dispatch_id == refuse.request;
+                     }),
+      request.open_attempts.end());
+  if (!other_attempt_open) {
+    this->RecordFailure(request);
+    this->FailRequest(request, refuse.problem);
   }
 }
 
-void ServiceFlow::OnWaiting(const Waiting& waiting) {
-  ServiceRequest& request = this->requests.at(CallersId(waiting.request));
+void ServiceHandler::OnWaiting(const Waiting& waiting) {
+  ServiceRequest& request = this->requests.at(CallerRequestId(waiting.request));
   if (waiting.request != request.id) {
     return;
   }
@@ -252,168 +259,174 @@
 
 // ---- Events ----
 
-void ServiceFlow::OnCallerGone(RequestId id) {
+void ServiceHandler::OnCallerGone(RequestId id) {
   ServiceRequest& request = this->requests.at(id);
   request.caller_left = true;
   this->shared.requests.SetCallerLeft(id);
-  const bool running = !request.legs.empty() && request.legs.front().placed;
+  const bool running =
+      !request.open_attempts.empty() && request.open_attempts.front().placed;
   if (!request.idempotent && running) {
     return;  // it may be running: let it end, so that its outcome can be kept
   }
-  if (request.claiming) {
+  if (request.claim_pending) {
     this->StepLog(AbandonClaim{id});
     if (!this->Owns(id)) {
       return;  // the log answered it
     }
   }
-  this->DropLegs(request, PlacementEnd::kCancelled);
-  this->RecordEnd(request);
+  this->EndAllAttempts(request, PlacementEnd::kCancelled);
+  this->RecordFailure(request);
   this->shared.requests.Finish(id);
   this->Close(request, "caller_gone");
 }
 
-void ServiceFlow::OnHead(RequestId id, const HttpHead& head) {
-  for (ServiceLeg& leg : this->requests.at(CallersId(id)).legs) {
-    if (leg.call == head.id) {
-      leg.status = head.status;
-      leg.headers = Select(head.headers, kReturned);
+void ServiceHandler::OnHead(RequestId id, const HttpHead& head) {
+  for (ServiceAttempt& attempt :
+       this->requests.at(CallerRequestId(id)).open_attempts) {
+    if (attempt.call == head.id) {
+      attempt.status = head.status;
+      attempt.headers = SelectHeaders(head.headers, kReturnedHeaders);
     }
   }
 }
 
-void ServiceFlow::OnChunk(RequestId id, const HttpChunk& chunk) {
-  ServiceRequest& request = this->requests.at(CallersId(id));
-  for (std::size_t i = 0; i < request.legs.size(); ++i) {
-    ServiceLeg& leg = request.legs[i];
-    if (leg.call != chunk.id) {
+void ServiceHandler::OnChunk(RequestId id, const HttpChunk& chunk) {
+  ServiceRequest& request = this->requests.at(CallerRequestId(id));
+  for (std::size_t i = 0; i < request.open_attempts.size(); ++i) {
+    ServiceAttempt& attempt = request.open_attempts[i];
+    if (attempt.call != chunk.id) {
       continue;
     }
-    if (leg.answer.size() + chunk.bytes.size() > kMaxAnswerBytes) {
+    if (attempt.response_body.size() + chunk.bytes.size() > kMaxResponseBytes) {
       this->shared.metrics.Add(Counter::kMalformedInput);
       this->shared.CancelHttp(chunk.id);
-      this->FailLeg(request, i, PlacementEnd::kLost);
+      this->FailAttempt(request, i, PlacementEnd::kLost);
       return;
     }
-    leg.answer += chunk.bytes;
+    attempt.response_body += chunk.bytes;
     return;
   }
 }
 
-void ServiceFlow::OnDone(RequestId id, const HttpDone& done) {
+void ServiceHandler::OnDone(RequestId id, const HttpDone& done) {
   this->shared.calls.Close(done.id);
-  ServiceRequest& request = this->requests.at(CallersId(id));
-  for (std::size_t i = 0; i < request.legs.size(); ++i) {
-    if (request.legs[i].call != done.id) {
+  ServiceRequest& request = this->requests.at(CallerRequestId(id));
+  for (std::size_t i = 0; i < request.open_attempts.size(); ++i) {
+    if (request.open_attempts[i].call != done.id) {
       continue;
     }
-    request.legs[i].call = CallId{};
+    request.open_attempts[i].call = CallId{};
     if (done.end == HttpEnd::kNotConnected) {
-      this->FailLeg(request, i, PlacementEnd::kNotConnected);
+      this->FailAttempt(request, i, PlacementEnd::kNotConnected);
     } else if (done.end != HttpEnd::kComplete) {
-      this->FailLeg(request, i, PlacementEnd::kLost);
-    } else if (SaysNotRun(request.legs[i])) {
-      this->FailLeg(request, i, PlacementEnd::kRefused);
+      this->FailAttempt(request, i, PlacementEnd::kLost);
+    } else if (IsNotRunResponse(request.open_attempts[i])) {
+      this->FailAttempt(request, i, PlacementEnd::kRefused);
     } else {
-      this->TakeAnswer(request, i);
+      this->HandleResponse(request, i);
     }
     return;
   }
 }
 
-void ServiceFlow::TakeAnswer(ServiceRequest& request, std::size_t index) {
-  const ServiceLeg leg = request.legs[index];
+void ServiceHandler::HandleResponse(ServiceRequest& request,
+                                    std::size_t index) {
+  const ServiceAttempt attempt = request.open_attempts[index];
   request.may_have_run = true;
-  this->DropLeg(request, index, PlacementEnd::kFinished);
-  this->DropLegs(request, PlacementEnd::kCancelled);
+  this->EndAttempt(request, index, PlacementEnd::kFinished);
+  this->EndAllAttempts(request, PlacementEnd::kCancelled);
   if (request.claimed) {
     KeptOutcome outcome;
-    outcome.status = leg.status;
-    for (const Header& header : leg.headers) {
+    outcome.status = attempt.status;
+    for (const Header& header : attempt.headers) {
       outcome.headers.push_back({header.name, header.value});
     }
-    outcome.body = leg.answer;
+    outcome.body = attempt.response_body;
     request.claimed = false;
     this->StepLog(RecordOutcome{request.id, std::move(outcome)});
   }
-  this->AnswerCaller(request, leg.status, leg.headers, leg.answer, false);
+  this->Respond(request, attempt.status, attempt.headers, attempt.response_body,
+                false);
 }
 
-void ServiceFlow::FailLeg(ServiceRequest& request, std::size_t index,
-                          PlacementEnd end) {
-  const bool nothing_ran =
+void ServiceHandler::FailAttempt(ServiceRequest& request, std::size_t index,
+                                 PlacementEnd end) {
+  const bool not_run =
       end == PlacementEnd::kNotConnected || end == PlacementEnd::kRefused;
-  request.may_have_run = request.may_have_run || !nothing_ran;
-  request.excluded.push_back(request.legs[index].worker);
-  this->DropLeg(request, index, end);
-  if (!request.legs.empty()) {
+  request.may_have_run = request.may_have_run || !not_run;
+  request.excluded.push_back(request.open_attempts[index].worker);
+  this->EndAttempt(request, index, end);
+  if (!request.open_attempts.empty()) {
     return;  // the other copy goes on
   }
-  const bool repeatable =
-      request.idempotent || (request.claimed && nothing_ran);
-  if (repeatable && request.attempts < kMaxAttempts && !request.caller_left) {
+  const bool retryable = request.idempotent || (request.claimed && not_run);
+  if (retryable && request.attempt_count < kMaxAttempts &&
+      !request.caller_left) {
     this->shared.metrics.Add(Counter::kRetries);
     this->Submit(request, request.id, true);
     return;
   }
-  this->RecordEnd(request);
+  this->RecordFailure(request);
   const ErrorCode code =
       end == PlacementEnd::kNotConnected ? ErrorCode::kUpstreamUnreachable
       : end == PlacementEnd::kRefused    ? ErrorCode::kUpstreamRefused
                                          : ErrorCode::kUpstreamCut;
-  this->RefuseCaller(request,
-                     {code, Outcome::kNotRun, "the upstream gave no answer",
-                      kRetryAfterFailure});
-}
-
-void ServiceFlow::DropLeg(ServiceRequest& request, std::size_t index,
-                          PlacementEnd end) {
-  const ServiceLeg leg = std::move(request.legs[index]);
-  request.legs.erase(request.legs.begin() + static_cast<std::ptrdiff_t>(index));
-  if (leg.call.value != 0) {
-    this->shared.CancelHttp(leg.call);
+  this->FailRequest(request,
+                    {code, Outcome::kNotRun, "the upstream gave no answer",
+                     kRetryAfterFailure});
+}
+
+void ServiceHandler::EndAttempt(ServiceRequest& request, std::size_t index,
+                                PlacementEnd end) {
+  const ServiceAttempt attempt = std::move(request.open_attempts[index]);
+  request.open_attempts.erase(request.open_attempts.begin() +
+                              static_cast<std::ptrdiff_t>(index));
+  if (attempt.call.value != 0) {
+    this->shared.CancelHttp(attempt.call);
     request.may_have_run = true;
   }
-  if (leg.placed) {
-    this->EndLegSpan(leg, ToText(end));
+  if (attempt.placed) {
+    this->FinishAttemptSpan(attempt, ToText(end));
   }
-  this->shared.Dispatch(ReportEnded{leg.dispatch_id, end, 0});
+  this->shared.Dispatch(ReportEnded{attempt.dispatch_id, end, 0});
 }
 
-void ServiceFlow::DropLegs(ServiceRequest& request, PlacementEnd end) {
-  while (!request.legs.empty()) {
-    this->DropLeg(request, request.legs.size() - 1, end);
+void ServiceHandler::EndAllAttempts(ServiceRequest& request, PlacementEnd end) {
+  while (!request.open_attempts.empty()) {
+    this->EndAttempt(request, request.open_attempts.size() - 1, end);
   }
 }
 
-void ServiceFlow::EndLegSpan(const ServiceLeg& leg, std::string_view result) {
-  this->shared.FinishSpan(leg.trace, "service.call", leg.started,
-                          {{"upstream", leg.worker.value},
-                           {"status", std::to_string(leg.status)},
+void ServiceHandler::FinishAttemptSpan(const ServiceAttempt& attempt,
+                                       std::string_view result) {
+  this->shared.FinishSpan(attempt.trace, "service.call", attempt.started,
+                          {{"upstream", attempt.worker.value},
+                           {"status", std::to_string(attempt.status)},
                            {"result", std::string(result)}});
 }
 
-void ServiceFlow::OnDeadline(RequestId id) {
+void ServiceHandler::OnDeadline(RequestId id) {
   ServiceRequest& request = this->requests.at(id);
   this->shared.metrics.Add(Counter::kDeadlinesReached);
-  const bool undecided = request.claiming;
-  if (undecided) {
+  const bool claim_was_pending = request.claim_pending;
+  if (claim_was_pending) {
     this->StepLog(AbandonClaim{id});
     if (!this->Owns(id)) {
       return;  // the log answered it
     }
   }
-  this->DropLegs(request, PlacementEnd::kCancelled);
-  this->RecordEnd(request);
-  request.may_have_run = request.may_have_run || undecided;
-  this->RefuseCaller(request,
-                     {ErrorCode::kRequestDeadlineReached, Outcome::kNotRun,
-                      "the deadline was reached before an answer came",
-                      std::max(request.expected_wait, kRetryAfterFailure)});
+  this->EndAllAttempts(request, PlacementEnd::kCancelled);
+  this->RecordFailure(request);
+  request.may_have_run = request.may_have_run || claim_was_pending;
+  this->FailRequest(request,
+                    {ErrorCode::kRequestDeadlineReached, Outcome::kNotRun,
+                     "the deadline was reached before an answer came",
+                     std::max(request.expected_wait, kRetryAfterFailure)});
 }
 
 // ---- Hedging and time ----
 
-void ServiceFlow::Tick() {
+void ServiceHandler::Tick() {
   std::vector<RequestId> due;
   for (auto& [id, request] : this->requests) {
     if (request.hedge_at <= this->shared.now) {
@@ -428,19 +441,20 @@
   }
 }
 
-void ServiceFlow::StartHedge(ServiceRequest& request) {
+void ServiceHandler::StartHedge(ServiceRequest& request) {
   request.hedge_at = kNever;
-  if (request.legs.size() != 1 || !request.legs.front().placed) {
+  if (request.open_attempts.size() != 1 ||
+      !request.open_attempts.front().placed) {
     return;
   }
   std::vector<UpstreamId> excluded = request.excluded;
-  excluded.push_back(request.legs.front().worker);
+  excluded.push_back(request.open_attempts.front().worker);
   std::swap(excluded, request.excluded);
   this->Submit(request, RequestId{request.id.value | kHedgeBit}, true);
   std::swap(excluded, request.excluded);
 }
 
-Instant ServiceFlow::NextWakeup() const {
+Instant ServiceHandler::NextWakeup() const {
   Instant earliest = this->log.NextWakeup();
   for (const auto& [id, request] : this->requests) {
     earliest = std::min(earliest, request.hedge_at);
@@ -448,24 +462,24 @@
   return earliest;
 }
 
-bool ServiceFlow::Idle() const {
+bool ServiceHandler::Idle() const {
   return this->requests.empty() && this->log.Idle();
 }
 
 // ---- The idempotency log ----
 
-void ServiceFlow::OnPlatform(const StoreResult& result) {
+void ServiceHandler::OnPlatform(const StoreResult& result) {
   for (const LogOperationResult& ended :
-       this->storage.Take(this->shared.now, result)) {
+       this->storage.OnStoreResult(this->shared.now, result)) {
     this->StepLog(ended);
   }
 }
 
-void ServiceFlow::OnWallClock(const WallClockRead& clock) {
+void ServiceHandler::OnWallClock(const WallClockRead& clock) {
   this->StepLog(SetLogClock{clock.unix_milliseconds});
 }
 
-void ServiceFlow::RecordEnd(ServiceRequest& request) {
+void ServiceHandler::RecordFailure(ServiceRequest& request) {
   if (!request.claimed) {
     return;
   }
@@ -477,13 +491,13 @@
   }
 }
 
-void ServiceFlow::StepLog(const LogMessage& message) {
+void ServiceHandler::StepLog(const LogMessage& message) {
   for (const LogAction& action : this->log.Step(this->shared.now, message)) {
-    this->CarryLog(action);
+    this->ExecuteLogAction(action);
   }
 }
 
-void ServiceFlow::CarryLog(const LogAction& action) {
+void ServiceHandler::ExecuteLogAction(const LogAction& action) {
   const Instant now = this->shared.now;
   if (const auto* create = std::get_if<LogCreate>(&action)) {
     this->storage.Start(now, *create);
@@ -495,32 +509,32 @@
     this->storage.Start(now, *remove);
   } else if (const auto* dispatch = std::get_if<DispatchClaim>(&action)) {
     ServiceRequest& request = this->requests.at(dispatch->request);
-    request.claiming = false;
+    request.claim_pending = false;
     request.claimed = true;
     this->Submit(request, request.id, false);
   } else if (const auto* replay = std::get_if<ReplayOutcome>(&action)) {
     ServiceRequest& request = this->requests.at(replay->request);
-    request.claiming = false;
+    request.claim_pending = false;
     this->shared.metrics.Add(Counter::kReplays);
     Headers headers;
     for (const KeptHeader& header : replay->outcome.headers) {
       headers.push_back({header.name, header.value});
     }
-    this->AnswerCaller(request, replay->outcome.status, headers,
-                       replay->outcome.body, true);
+    this->Respond(request, replay->outcome.status, headers,
+                  replay->outcome.body, true);
   } else if (const auto* refuse = std::get_if<RefuseClaim>(&action)) {
     ServiceRequest& request = this->requests.at(refuse->request);
-    request.claiming = false;
+    request.claim_pending = false;
     request.may_have_run = refuse->problem.outcome != Outcome::kNotRun;
-    this->RefuseCaller(request, refuse->problem);
+    this->FailRequest(request, refuse->problem);
   }
 }
 
 // ---- Answers ----
 
-void ServiceFlow::RefuseCaller(ServiceRequest& request, Problem problem) {
+void ServiceHandler::FailRequest(ServiceRequest& request, Problem problem) {
   if (this->shared.requests.Finish(request.id) != FinishResult::kSend) {
-    this->shared.metrics.Add(Counter::kAnswersSuppressed);
+    this->shared.metrics.Add(Counter::kResponsesSuppressed);
     this->Close(request, "not_sent");
     return;
   }
@@ -532,11 +546,11 @@
   this->Close(request, Describe(problem.code).name);
 }
 
-void ServiceFlow::AnswerCaller(ServiceRequest& request, int status,
-                               const Headers& headers, const std::string& body,
-                               bool replayed) {
+void ServiceHandler::Respond(ServiceRequest& request, int status,
+                             const Headers& headers, const std::string& body,
+                             bool replayed) {
   if (this->shared.requests.Finish(request.id) != FinishResult::kSend) {
-    this->shared.metrics.Add(Counter::kAnswersSuppressed);
+    this->shared.metrics.Add(Counter::kResponsesSuppressed);
     this->Close(request, "not_sent");
     return;
   }
@@ -550,13 +564,13 @@
   this->Close(request, replayed ? "replayed" : "answered");
 }
 
-void ServiceFlow::Close(ServiceRequest& request, std::string_view result) {
+void ServiceHandler::Close(ServiceRequest& request, std::string_view result) {
   this->shared.metrics.Record(Timing::kRequest,
                               this->shared.now - request.arrived);
   this->shared.FinishSpan(request.trace, "entry.service", request.arrived,
                           {{"organisation", request.organisation.value},
                            {"service", request.service},
-                           {"attempts", std::to_string(request.attempts)},
+                           {"attempts", std::to_string(request.attempt_count)},
                            {"result", std::string(result)}});
   this->requests.erase(request.id);
 }
--- a/src/entry/tests/caller_access_test.cc
+++ b/src/entry/tests/caller_access_test.cc
@@ -46,19 +46,19 @@
 TEST_CASE("caller wait, by Prefer header, is bounded and checked") {
   const Duration normal = std::chrono::seconds(10);
   const Duration longest = std::chrono::seconds(60);
-  CHECK(*CallerWait({}, normal, longest) == normal);
-  CHECK(*CallerWait({{"Prefer", "respond-async, wait=2.5"}}, normal, longest) ==
-        std::chrono::milliseconds(2500));
-  CHECK(*CallerWait({{"Prefer", "wait=1e30"}}, normal, longest) == longest);
-  CHECK(ErrorCodeOf(
-            CallerWait({{"Prefer", "wait=0"}}, normal, longest).status()) ==
-        ErrorCode::kRequestDeadlinePast);
-  CHECK(ErrorCodeOf(
-            CallerWait({{"Prefer", "wait=nan"}}, normal, longest).status()) ==
-        ErrorCode::kRequestDeadlinePast);
-  CHECK(ErrorCodeOf(
-            CallerWait({{"Prefer", "wait=soon"}}, normal, longest).status()) ==
-        ErrorCode::kRequestMalformed);
+  CHECK(*ParsePreferredWait({}, normal, longest) == normal);
+  CHECK(*ParsePreferredWait({{"Prefer", "respond-async, wait=2.5"}}, normal,
+                            longest) == std::chrono::milliseconds(2500));
+  CHECK(*ParsePreferredWait({{"Prefer", "wait=1e30"}}, normal, longest) ==
+        longest);
+  CHECK(ErrorCodeOf(ParsePreferredWait({{"Prefer", "wait=0"}}, normal, longest)
+                        .status()) == ErrorCode::kRequestDeadlinePast);
+  CHECK(
+      ErrorCodeOf(ParsePreferredWait({{"Prefer", "wait=nan"}}, normal, longest)
+                      .status()) == ErrorCode::kRequestDeadlinePast);
+  CHECK(
+      ErrorCodeOf(ParsePreferredWait({{"Prefer", "wait=soon"}}, normal, longest)
+                      .status()) == ErrorCode::kRequestMalformed);
 }
 
 }  // namespace
--- a/src/entry/tests/completion_body_test.cc
+++ b/src/entry/tests/completion_body_test.cc
@@ -44,27 +44,29 @@
     "prefix blocks, prompts with a common start, share the leading hashes "
     "only") {
   const std::string common(512, 'a');
-  const auto first = PrefixBlocks("m", common + std::string(256, 'b'));
-  const auto second = PrefixBlocks("m", common + std::string(256, 'c'));
+  const auto first = HashPrefixBlocks("m", common + std::string(256, 'b'));
+  const auto second = HashPrefixBlocks("m", common + std::string(256, 'c'));
   REQUIRE(first.size() == 3);
   CHECK(first[1] == second[1]);
   CHECK(first[2] != second[2]);
-  CHECK(PrefixBlocks("other", common)[0] != first[0]);
+  CHECK(HashPrefixBlocks("other", common)[0] != first[0]);
 }
 
 TEST_CASE("answer texts, chunk and whole, have the OpenAI-compatible shape") {
-  const AnswerHeader header{CompletionKind::kChat, "c1", "m"};
-  const auto chunk = nlohmann::json::parse(ChunkWriter(header).Token("a\"b"));
+  const ResponseMetadata metadata{CompletionKind::kChat, "c1", "m"};
+  const auto chunk =
+      nlohmann::json::parse(ChunkWriter(metadata).TokenChunk("a\"b"));
   CHECK(chunk["choices"][0]["delta"]["content"] == "a\"b");
   CHECK(chunk["choices"][0]["finish_reason"].is_null());
   CHECK(chunk["id"] == "c1");
-  const auto last = nlohmann::json::parse(ChunkWriter(header).Finish("stop"));
+  const auto last =
+      nlohmann::json::parse(ChunkWriter(metadata).FinalChunk("stop"));
   CHECK(last["choices"][0]["finish_reason"] == "stop");
   CHECK(last["choices"][0]["delta"].empty());
-  const auto whole =
-      nlohmann::json::parse(WriteWholeAnswer(header, "all", "stop", 3, 4));
-  CHECK(whole["choices"][0]["message"]["content"] == "all");
-  CHECK(whole["usage"]["total_tokens"] == 7);
+  const auto response = nlohmann::json::parse(
+      RenderCompletionResponse(metadata, "all", "stop", 3, 4));
+  CHECK(response["choices"][0]["message"]["content"] == "all");
+  CHECK(response["usage"]["total_tokens"] == 7);
 }
 
 }  // namespace
--- a/src/entry/tests/reply_test.cc
+++ b/src/entry/tests/reply_test.cc
@@ -20,8 +20,8 @@
 }
 
 TEST_CASE("retry-after text, shorter than a second, is at least one") {
-  CHECK(RetryAfterText(Duration(0)) == "1");
-  CHECK(RetryAfterText(std::chrono::seconds(3)) == "3");
+  CHECK(RetryAfterValue(Duration(0)) == "1");
+  CHECK(RetryAfterValue(std::chrono::seconds(3)) == "3");
 }
 
 }  // namespace
--- a/src/entry/worker_reports.cc
+++ b/src/entry/worker_reports.cc
@@ -12,14 +12,14 @@
 using nlohmann::json;
 
 constexpr std::size_t kMaxReportBytes = 65536;
-constexpr std::int64_t kBytesPerReport =
+constexpr std::int64_t kBytesPerPoll =
     500;  // request and answer with their headers
-constexpr std::int64_t kReportBytesPerSecond =
+constexpr std::int64_t kPollBytesPerSecond =
     600;  // of the host's 2 KB/s for control
-constexpr Duration kShortestInterval = std::chrono::milliseconds(500);
+constexpr Duration kMinInterval = std::chrono::milliseconds(500);
 constexpr Duration kReportTimeout = std::chrono::seconds(2);
 
-std::uint64_t Whole(const json& report, const char* name) {
+std::uint64_t ReadUnsigned(const json& report, const char* name) {
   const auto member = report.find(name);
   const bool usable = member != report.end() && member->is_number() &&
                       member->get<double>() >= 0;
@@ -37,11 +37,11 @@
   }
   WorkerReport report;
   report.worker = worker;
-  report.memory_tokens = Whole(parsed, "memory_tokens");
-  report.memory_tokens_used = Whole(parsed, "memory_tokens_used");
-  report.running = static_cast<std::uint32_t>(Whole(parsed, "running"));
-  report.waiting = static_cast<std::uint32_t>(Whole(parsed, "waiting"));
-  report.preemptions = Whole(parsed, "preemptions");
+  report.memory_tokens = ReadUnsigned(parsed, "memory_tokens");
+  report.memory_tokens_used = ReadUnsigned(parsed, "memory_tokens_used");
+  report.running = static_cast<std::uint32_t>(ReadUnsigned(parsed, "running"));
+  report.waiting = static_cast<std::uint32_t>(ReadUnsigned(parsed, "waiting"));
+  report.preemptions = ReadUnsigned(parsed, "preemptions");
   const auto step = parsed.find("step_ms");
   if (step != parsed.end() && step->is_number()) {
     report.step_time = FromSeconds(step->get<double>() / 1000.0);
@@ -52,67 +52,72 @@
   return report;
 }
 
-WorkerReports::WorkerReports(HostContext& shared, DrainHook on_drain,
-                             SettledHook settled)
+WorkerReportPoller::WorkerReportPoller(HostContext& shared,
+                                       DrainingHook on_draining,
+                                       MembershipCurrentHook membership_current)
     : shared(shared),
-      on_drain(std::move(on_drain)),
-      settled(std::move(settled)) {}
+      on_draining(std::move(on_draining)),
+      membership_current(std::move(membership_current)) {}
 
-void WorkerReports::Refresh() {
-  this->refresh_due = !this->settled();
-  if (this->refresh_due) {
+void WorkerReportPoller::Refresh() {
+  this->refresh_pending = !this->membership_current();
+  if (this->refresh_pending) {
     return;
   }
-  std::map<UpstreamId, Poll> kept;
+  std::map<UpstreamId, Poll> refreshed;
   for (const UpstreamId& worker : this->shared.dispatcher.OwnedWorkers()) {
     const Upstream* upstream = this->shared.FindUpstream(worker);
     if (upstream == nullptr) {
       continue;
     }
-    const auto before = this->polls.find(worker);
+    const auto previous = this->polls.find(worker);
     Poll poll;
     poll.due = this->shared.now;
-    if (before != this->polls.end()) {
-      poll = before->second;
-      this->polls.erase(before);
+    if (previous != this->polls.end()) {
+      poll = previous->second;
+      this->polls.erase(previous);
     }
     poll.url = upstream->url;
-    kept.emplace(worker, std::move(poll));
+    refreshed.emplace(worker, std::move(poll));
   }
   for (const auto& [worker, poll] : this->polls) {
     this->shared.CancelHttp(poll.call);
   }
-  this->polls = std::move(kept);
-  const Instant latest = this->shared.now + this->Interval();
+  this->polls = std::move(refreshed);
+  const Instant latest = this->shared.now + this->PollInterval();
   for (auto& [worker, poll] : this->polls) {
-    const bool asked = poll.call.value != 0;
-    poll.due = asked ? kNever : std::min(poll.due, latest);
+    const bool in_flight = poll.call.value != 0;
+    poll.due = in_flight ? kNever : std::min(poll.due, latest);
   }
 }
 
-Duration WorkerReports::Interval() const {
+Duration WorkerReportPoller::PollInterval() const {
   const auto count = static_cast<std::int64_t>(this->polls.size());
-  const Duration bounded = std::chrono::seconds(1) * (count * kBytesPerReport) /
-                           kReportBytesPerSecond;
-  return std::max(kShortestInterval, bounded);
+  const Duration rate_limited =
+      std::chrono::seconds(1) * (count * kBytesPerPoll) / kPollBytesPerSecond;
+  return std::max(kMinInterval, rate_limited);
 }
 
-void WorkerReports::OnHead(const UpstreamId& worker, const HttpHead& head) {
+void WorkerReportPoller::OnHead(const UpstreamId& worker,
+                                const HttpHead& head) {
   const auto poll = this->polls.find(worker);
   if (poll != this->polls.end()) {
     poll->second.status = head.status;
   }
 }
 
-void WorkerReports::OnChunk(const UpstreamId& worker, const HttpChunk& chunk) {
+void WorkerReportPoller::OnChunk(const UpstreamId& worker,
+                                 const HttpChunk& chunk) {
   const auto poll = this->polls.find(worker);
   if (poll != this->polls.end() &&
-      poll->second.answer.size() + chunk.bytes.size() <= kMaxReportBytes) {
-    poll->second.answer += chunk.bytes;
+      poll->second.response_body.size() + chunk.bytes.size() <=
+          kMaxReportBytes) {
+    poll->second.response_body += chunk.bytes;
   }
 }
 
-void WorkerReports::OnDone(const UpstreamId& worker, const HttpDone& done) {
+void WorkerReportPoller::OnDone(const UpstreamId& worker,
+                                const HttpDone& done) {
   this->shared.calls.Close(done.id);
   const auto found = this->polls.find(worker);
   if (found == this->polls.end()) {
@@ -120,26 +125,27 @@
   }
   Poll& poll = found->second;
   poll.call = CallId{};
-  poll.due = this->shared.now + this->Interval();
+  poll.due = this->shared.now + this->PollInterval();
   constexpr int kOk = 200;
   if (done.end == HttpEnd::kComplete && poll.status == kOk) {
-    this->Read(worker, poll);
+    this->HandleReport(worker, poll);
   }
 }
 
-void WorkerReports::Read(const UpstreamId& worker, const Poll& poll) {
+void WorkerReportPoller::HandleReport(const UpstreamId& worker,
+                                      const Poll& poll) {
   const absl::StatusOr<WorkerReport> report =
-      ParseWorkerReport(worker, poll.answer);
+      ParseWorkerReport(worker, poll.response_body);
   if (!report.ok()) {
     this->shared.metrics.Add(Counter::kMalformedInput);
     return;
   }
-  this->on_drain(worker, report->draining);
+  this->on_draining(worker, report->draining);
   this->shared.Dispatch(*report);
 }
 
-void WorkerReports::Tick() {
-  if (this->refresh_due) {
+void WorkerReportPoller::Tick() {
+  if (this->refresh_pending) {
     this->Refresh();
   }
   for (auto& [worker, poll] : this->polls) {
@@ -151,14 +157,14 @@
     call.url = absl::StrCat(poll.url, "/v1/load");
     call.total_timeout = kReportTimeout;
     poll.status = 0;
-    poll.answer.clear();
+    poll.response_body.clear();
     poll.due = kNever;
     poll.call = this->shared.StartHttp({CallPurpose::kWorkerReport, {}, worker},
                                        std::move(call));
   }
 }
 
-Instant WorkerReports::NextWakeup() const {
+Instant WorkerReportPoller::NextWakeup() const {
   Instant earliest = kNever;
   for (const auto& [worker, poll] : this->polls) {
     earliest = std::min(earliest, poll.due);
