--- a/src/entry/caller_access.cc
+++ b/src/entry/caller_access.cc
@@ -69,11 +69,11 @@
     double seconds = 0;
     if (!absl::SimpleAtod(preference, &seconds)) {
       return MakeStatus(ErrorCode::kRequestMalformed,
-                        "Prefer: wait needs a number of seconds");
+                        "Prefer: wait must be a number of seconds");
     }
     if (!(seconds > 0)) {
       return MakeStatus(ErrorCode::kRequestDeadlinePast,
-                        "Prefer: wait leaves no time");
+                        "Prefer: wait must be greater than 0");
     }
     return seconds >= ToSeconds(max_wait) ? max_wait : FromSeconds(seconds);
   }
--- a/src/entry/cluster_flow.cc
+++ b/src/entry/cluster_flow.cc
@@ -8,7 +8,7 @@
 namespace limpetlink {
 namespace {
 
-/// Topic of the broadcasts that tell an upstream's state.
+/// Topic of the broadcasts of upstream states.
 constexpr std::uint32_t kUpstreamTopic = 1;
 
 MetadataStoreSettings PlatformSettingsOf(const EntryHostSettings& settings) {
@@ -38,7 +38,8 @@
   return membership;
 }
 
-/// Names what a source says of an upstream, as the key of its broadcast.
+/// Returns the broadcast key for the state of an upstream as reported by a
+/// source.
 std::string BroadcastKey(const UpstreamId& upstream, LeavingSource source) {
   const std::string_view name = ToText(source);
   return absl::StrCat(absl::string_view(name.data(), name.size()), "/",
@@ -71,7 +72,7 @@
   this->Flush();
 }
 
-// ---- Events of the adapters ----
+// ---- Events from the adapters ----
 
 void ClusterSync::OnPeerFrame(const PeerFrame& frame) {
   const absl::StatusOr<PeerEnvelope> envelope = this->peer_gate.Open(frame);
@@ -113,7 +114,7 @@
   this->SendToPeer(send.to, PeerKind::kDispatch, send.bytes);
 }
 
-// ---- Time and orders ----
+// ---- Timers and pending actions ----
 
 void ClusterSync::Tick() {
   const Instant now = this->shared.now;
@@ -197,7 +198,7 @@
   }
 }
 
-// ---- Upstreams that leave ----
+// ---- Leaving upstreams ----
 
 void ClusterSync::UpdateLeaving(const UpstreamId& upstream,
                                 LeavingSource source, bool is_leaving) {
--- a/src/entry/completion_body.cc
+++ b/src/entry/completion_body.cc
@@ -22,7 +22,7 @@
 absl::StatusOr<std::string> ParseMessages(const json& body) {
   const auto messages = body.find("messages");
   if (messages == body.end() || !messages->is_array() || messages->empty()) {
-    return MalformedError("/messages must be a list that is not empty");
+    return MalformedError("/messages must be a non-empty array");
   }
   std::string prompt;
   for (const json& message : *messages) {
@@ -31,7 +31,8 @@
                        message.contains("content") &&
                        message["content"].is_string();
     if (!valid) {
-      return MalformedError("/messages: each needs role and content as text");
+      return MalformedError(
+          "/messages: each needs role and content as strings");
     }
     prompt += message["role"].get<std::string>();
     prompt += ": ";
@@ -47,7 +48,7 @@
   }
   const auto prompt = body.find("prompt");
   if (prompt == body.end() || !prompt->is_string()) {
-    return MalformedError("/prompt must be text");
+    return MalformedError("/prompt must be a string");
   }
   return prompt->get<std::string>();
 }
@@ -59,8 +60,7 @@
                        max_tokens->get<std::int64_t>() > 0 &&
                        max_tokens->get<std::int64_t>() <= kMaxOutputTokens;
     if (!valid) {
-      return MalformedError(
-          "/max_tokens must be a whole number from 1 to 1000000");
+      return MalformedError("/max_tokens must be an integer from 1 to 1000000");
     }
     request.max_output_tokens = max_tokens->get<std::uint32_t>();
   }
@@ -112,7 +112,7 @@
   }
   const auto model = json_body.find("model");
   if (model == json_body.end() || !model->is_string()) {
-    return MalformedError("/model must be text");
+    return MalformedError("/model must be a string");
   }
   CompletionBody request;
   request.model = model->get<std::string>();
@@ -148,7 +148,7 @@
 
 ChunkWriter::ChunkWriter(const ResponseMetadata& metadata)
     : metadata(metadata) {
-  // A text that JSON writes as it stands and that no id or model can hold.
+  // Placeholder with a fixed JSON form that no id or model name can contain.
   const std::string placeholder = "\\u0001text\\u0001";
   const std::string chunk = RenderChunk(this->metadata, "\x01text\x01", "");
   const std::string quoted = "\"" + placeholder + "\"";
--- a/src/entry/completion_flow.cc
+++ b/src/entry/completion_flow.cc
@@ -135,7 +135,7 @@
        completion.deadline, completion.trace.trace_id, completion.body.stream});
   if (admitted != AdmitResult::kAdmitted) {
     return MakeStatus(ErrorCode::kRequestDeadlinePast,
-                      "the deadline is not ahead");
+                      "the deadline has already passed");
   }
   Completion& stored =
       this->completions.emplace(request.id, std::move(completion))
@@ -222,12 +222,11 @@
       std::move(call));
 }
 
-// ---- Events of the adapters ----
+// ---- Events from the adapters ----
 
 void CompletionHandler::OnCallerGone(RequestId id) {
   Completion& completion = this->completions.at(id);
-  // After a pause the caller may have gone on at another host with this
-  // generation.
+  // After a pause the caller may have resumed this generation at another host.
   this->StepStream(completion,
                    StreamCallerLeft{!this->shared.RecentlyPaused()});
   this->ReleasePlacement(completion, PlacementEnd::kCancelled);
@@ -299,7 +298,7 @@
   this->StepStream(
       completion,
       StreamGiveUp{{ErrorCode::kRequestDeadlineReached, Outcome::kUnknown,
-                    "the deadline was reached before the answer was whole",
+                    "the deadline was reached before the response was complete",
                     retry_after}});
 }
 
@@ -325,7 +324,7 @@
   return this->wakeups.empty() ? kNever : this->wakeups.begin()->first;
 }
 
-// ---- Orders of the stream ----
+// ---- Actions of the stream ----
 
 void CompletionHandler::StepStream(Completion& completion,
                                    StreamMessage message) {
--- a/src/entry/completion_orders.cc
+++ b/src/entry/completion_orders.cc
@@ -1,4 +1,4 @@
-// What a completion's stream orders: calls to engines, and the answer to the
+// Actions of a completion's stream: calls to engines and the response to the
 // caller.
 #include <nlohmann/json.hpp>
 
@@ -190,7 +190,7 @@
                          std::move(call));
 }
 
-// ---- Answers ----
+// ---- Responses ----
 
 void CompletionHandler::SendHead(Completion& completion) {
   if (completion.head_sent) {
--- a/src/entry/detail/call_table.h
+++ b/src/entry/detail/call_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which part of the host an HTTP call belongs to.
+/// @brief Maps open HTTP calls to the component that handles their events.
 #pragma once
 
 #include <cstdint>
@@ -9,28 +9,28 @@
 
 namespace limpetlink {
 
-/// @brief Why a call was made; decides who handles its events.
+/// @brief Purpose of an HTTP call; selects the handler of its events.
 enum class CallPurpose {
-  kGeneration,    ///< a generation's frames from an engine
-  kService,       ///< a request to an application service
-  kPlatform,      ///< the platform's object API
-  kWorkerReport,  ///< a worker's load
-  kDetached,      ///< the answer does not matter, as of a cancel
+  kGeneration,    ///< stream of a generation from an engine
+  kService,       ///< request to an application service
+  kPlatform,      ///< request to the platform's object API
+  kWorkerReport,  ///< poll of a worker's load report
+  kDetached,      ///< response is ignored, e.g. a cancellation
 };
 
-/// @brief Whose call it is.
+/// @brief Component, request and upstream that a call belongs to.
 struct CallOwner {
   CallPurpose purpose = CallPurpose::kDetached;
   RequestId request;  ///< for kGeneration and kService
   UpstreamId worker;  ///< for calls to upstreams
 };
 
-/// @brief Allocates call ids and remembers the owners of open calls.
+/// @brief Allocates call ids and stores the owners of open calls.
 class CallTable {
  public:
-  /// @brief Opens a call. Constant time.
-  /// @param owner whose call it is
-  /// @return an id never used before by this host
+  /// @brief Registers an open call. Constant time.
+  /// @param owner component that handles the events of the call
+  /// @return an id that this host has not used before
   CallId Open(CallOwner owner) {
     const CallId id{++this->last_id};
     this->owners.emplace(id, std::move(owner));
@@ -38,13 +38,13 @@
   }
 
   /// @brief Finds the owner of an open call. Constant time.
-  /// @return the owner, or nullptr when the call is closed or was never open
+  /// @return the owner, or nullptr if the call is closed or was never open
   const CallOwner* Find(CallId id) const {
     const auto it = this->owners.find(id);
     return it == this->owners.end() ? nullptr : &it->second;
   }
 
-  /// @brief Closes a call: later events of it find no owner.
+  /// @brief Closes a call; Find() returns nullptr for its later events.
   void Close(CallId id) { this->owners.erase(id); }
 
  private:
--- a/src/entry/detail/cluster_flow.h
+++ b/src/entry/detail/cluster_flow.h
@@ -1,7 +1,6 @@
 /// @file
-/// @brief What a host shares with the platform and the other hosts:
-/// configuration, membership and
-///        the states of upstreams.
+/// @brief State that a host synchronises with the platform and the other hosts:
+/// fleet document, membership and the states of upstreams.
 #pragma once
 
 #include <functional>
@@ -17,10 +16,10 @@
 
 namespace limpetlink {
 
-/// @brief Who says that an upstream leaves. One source does not clear what
-/// another says.
+/// @brief Source that reports an upstream as leaving. An upstream is leaving
+/// while at least one source reports it.
 enum class LeavingSource {
-  kHostList,  ///< the platform's host list, which lags
+  kHostList,  ///< the platform's host list, which is updated with a delay
   kReport,    ///< the upstream's own load report
 };
 
@@ -30,49 +29,54 @@
       {LeavingSource::kHostList, "list"}, {LeavingSource::kReport, "report"}};
 };
 
-/// @brief Keeps document and membership current and tells the dispatcher what
-/// follows.
+/// @brief Keeps the fleet document, the membership and the states of upstreams
+/// current, and forwards changes to the dispatcher.
 class ClusterSync {
  public:
-  /// @param shared the host's state; outlives the flow
+  /// @param shared state of the host; must outlive this object
   explicit ClusterSync(HostContext& shared);
 
-  /// @brief Begins: reads the document, joins the other hosts.
+  /// @brief Starts reading the fleet document and joins the other hosts.
   void Start();
 
-  /// @brief Announces that this host leaves.
+  /// @brief Notifies the other hosts that this host is leaving.
   void Leave();
 
-  // ---- Events of the adapters ----
+  // ---- Events from the adapters ----
   void OnPeerFrame(const PeerFrame& frame);
   void OnHead(const HttpHead& head);
   void OnChunk(const HttpChunk& chunk);
   void OnDone(const HttpDone& done);
 
-  /// @brief Sends a dispatcher's message to a peer.
+  /// @brief Sends a message of the dispatcher to a peer.
   void SendDispatch(const DispatchSend& send);
 
-  /// @brief Notes what a source says of an upstream and spreads it when it
-  /// changed.
+  /// @brief Records whether a source reports an upstream as leaving, and
+  /// broadcasts the state to the other hosts if it changed.
+  /// @param upstream the upstream
+  /// @param source origin of the report
+  /// @param is_leaving whether the source reports it as leaving
   void UpdateLeaving(const UpstreamId& upstream, LeavingSource source,
                      bool is_leaving);
 
-  /// @brief Lets time pass and carries on what the slices ordered.
+  /// @brief Runs the timers of the components.
   void Tick();
 
-  /// @brief Carries on what the slices ordered; called after each step.
+  /// @brief Executes the pending actions and results of the components; called
+  /// after each step.
   void Flush();
 
-  /// @return when Tick is due at the latest
+  /// @return the latest time at which Tick must be called
   Instant NextWakeup() const;
 
-  /// @return whether this host has the newest document as far as it can know
+  /// @return whether this host has a fleet document, and its document and
+  /// membership are current as far as it can determine
   bool Ready() const;
 
-  /// @return the platform client, for the slices that keep objects there
+  /// @return the platform client, for components that store objects there
   MetadataStoreClient& Platform() { return this->platform; }
 
-  /// @return the document's state on this host
+  /// @return the configuration store of this host
   const ConfigurationStore& Configuration() const {
     return this->configuration;
   }
@@ -80,11 +84,12 @@
   /// @return the view of the entry hosts
   const Membership& Members() const { return this->membership; }
 
-  /// @brief Set by the host: takes results of platform operations that are of
-  /// neither slice here.
+  /// @brief Called with results of platform operations that belong neither to
+  /// the configuration nor to the membership. Set by the host.
   std::function<void(const StoreResult&)> on_platform_result;
 
-  /// @brief Set by the host: told when the document or the live hosts changed.
+  /// @brief Called after the fleet document or the live hosts changed. Set by
+  /// the host.
   std::function<void()> on_change;
 
  private:
@@ -100,17 +105,17 @@
                     bool is_leaving);
 
   HostContext& shared;
-  std::string
-      validated_text;  ///< last document that was found valid, kept parsed
-  std::shared_ptr<const FleetDocument> validated;
+  std::string validated_text;  ///< text of `validated`
+  std::shared_ptr<const FleetDocument>
+      validated;  ///< last valid document, parsed
   MetadataStoreClient platform;
   ConfigurationStore configuration;
   Membership membership;
   PeerGate peer_gate;
   std::map<UpstreamId, std::set<LeavingSource>>
-      leaving;  ///< upstreams that leave, and who says so
+      leaving;  ///< leaving upstreams with the reporting sources
   std::map<std::string, std::uint64_t>
-      broadcast_versions;  ///< by the broadcast's key
+      broadcast_versions;  ///< last version of each broadcast, by its key
 };
 
 }  // namespace limpetlink
--- a/src/entry/detail/completion.h
+++ b/src/entry/detail/completion.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One caller's completion request while it is in progress.
+/// @brief State of a completion request in progress.
 #pragma once
 
 #include <optional>
@@ -13,18 +13,18 @@
 
 namespace limpetlink {
 
-/// @brief The call to an engine that is open for a completion.
+/// @brief HTTP call to the engine that runs a completion.
 struct GenerationCall {
-  CallId id;  ///< 0: none is open
+  CallId id;  ///< 0 if no call is open
   StreamAttempt attempt = 0;
   UpstreamId worker;
   SseDecoder decoder{SseLimits{}};
-  int status = 0;  ///< of the answer; 0 until its head arrived
+  int status = 0;  ///< HTTP status; 0 until the response head arrives
   TraceContext trace;
   Instant started;
 };
 
-/// @brief All that the host keeps of one completion.
+/// @brief State of one completion request.
 struct Completion {
   Completion(RequestId request, Stream new_stream)
       : id(request), stream(std::move(new_stream)) {}
@@ -40,19 +40,19 @@
   Instant arrived;
   Instant deadline;
   Instant last_token = kNever;
-  Instant wakeup = kNever;  ///< when the stream wants a tick
+  Instant wakeup = kNever;  ///< next timer of the stream
   std::uint32_t prompt_tokens = 0;
   GenerationCall call;
-  std::optional<ResumeTokenMinter> minter;  ///< of the generation in force
+  std::optional<ResumeTokenMinter> minter;  ///< for minter_generation
   GenerationId minter_generation;
-  std::string url;  ///< of the worker in force
+  std::string url;  ///< base URL of the current worker
   std::int32_t priority = 0;
-  std::string buffered_text;  ///< the answer so far, when it is not streamed
-  std::uint32_t tokens = 0;   ///< of the generation in force
-  Duration expected_wait{0};  ///< last told by the dispatcher
-  bool placed = false;        ///< the dispatcher counts it at a worker
+  std::string buffered_text;  ///< output so far, unless streamed to the caller
+  std::uint32_t tokens = 0;   ///< of the current generation
+  Duration expected_wait{0};  ///< last estimate of the dispatcher
+  bool placed = false;        ///< occupies a slot at a worker
   bool head_sent = false;
-  std::vector<UpstreamId> excluded;
+  std::vector<UpstreamId> excluded;  ///< workers that a retry must avoid
 };
 
 }  // namespace limpetlink
--- a/src/entry/detail/completion_body.h
+++ b/src/entry/detail/completion_body.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Bodies of completion requests and answers in the OpenAI-compatible
-/// shape.
+/// @brief Request and response bodies of the OpenAI-compatible completion
+/// endpoints.
 #pragma once
 
 #include <cstdint>
@@ -12,59 +12,59 @@
 
 namespace limpetlink {
 
-/// @brief Which of the two completion endpoints a caller used.
+/// @brief Completion endpoint that a caller used.
 enum class CompletionKind { kText, kChat };
 
-/// @brief What a caller asks of a model.
+/// @brief Parsed body of a completion request.
 struct CompletionBody {
   std::string model;
-  std::string prompt;  ///< messages of a chat are joined, a line each
-  std::uint32_t max_output_tokens = 0;  ///< 0: the model's own bound
+  std::string prompt;  ///< chat messages are joined, one per line
+  std::uint32_t max_output_tokens = 0;  ///< 0: the model's maximum
   bool stream = false;
 };
 
 /// @brief Parses the body of a completion request.
 /// @param kind the endpoint
 /// @param body JSON text
-/// @return the request, or request.101 naming the member at fault
+/// @return the request, or request.101 with the name of the invalid member
 absl::StatusOr<CompletionBody> ParseCompletionBody(CompletionKind kind,
                                                    std::string_view body);
 
-/// @brief Estimates a prompt's length.
+/// @brief Estimates the number of tokens of a prompt.
 /// @param prompt the prompt
-/// @return tokens, at four bytes a token, at least 1
+/// @return the number of tokens at four bytes per token, at least 1
 std::uint32_t EstimatePromptTokens(std::string_view prompt);
 
-/// @brief Hashes of a prompt's leading blocks; equal prefixes give equal
-/// leading hashes.
-/// @param model the model, since caches are apart
+/// @brief Hashes the leading blocks of a prompt, so that prompts with a common
+/// prefix have equal leading hashes.
+/// @param model the model; part of the hash, as models do not share caches
 /// @param prompt the prompt
-/// @return a hash for each whole block, at most 16
+/// @return one hash per complete block of 256 bytes, at most 16
 std::vector<std::uint64_t> HashPrefixBlocks(std::string_view model,
                                             std::string_view prompt);
 
-/// @brief What stays equal in every chunk of one answer.
+/// @brief Values that all chunks of a response share.
 struct ResponseMetadata {
   CompletionKind kind = CompletionKind::kText;
   std::string id;
   std::string model;
 };
 
-/// @brief Writes the chunks of one streamed answer; what they share is rendered
-/// once.
+/// @brief Renders the chunks of a streamed response. The parts that all token
+/// chunks share are rendered once.
 class ChunkWriter {
  public:
-  /// @param header the answer's own values
+  /// @param metadata values shared by all chunks
   explicit ChunkWriter(const ResponseMetadata& metadata);
 
-  /// @brief Writes a token's chunk.
-  /// @param text the token's text
-  /// @return JSON text on one line. Linear in the text's length.
+  /// @brief Renders the chunk of a token.
+  /// @param text text of the token
+  /// @return JSON on one line; linear in the length of the text
   std::string TokenChunk(std::string_view text) const;
 
-  /// @brief Writes the last chunk.
+  /// @brief Renders the last chunk.
   /// @param finish_reason why the generation ended
-  /// @return JSON text on one line
+  /// @return JSON on one line
   std::string FinalChunk(std::string_view finish_reason) const;
 
  private:
@@ -73,13 +73,13 @@
   std::string chunk_suffix;
 };
 
-/// @brief Writes a whole answer.
-/// @param header the answer's own values
-/// @param text all of the tokens' text
+/// @brief Renders the body of a response that is not streamed.
+/// @param metadata id, model and kind of the response
+/// @param text text of all tokens
 /// @param finish_reason why the generation ended
-/// @param prompt_tokens estimated
-/// @param output_tokens counted
-/// @return JSON text
+/// @param prompt_tokens estimated length of the prompt
+/// @param output_tokens number of generated tokens
+/// @return JSON on one line
 std::string RenderCompletionResponse(const ResponseMetadata& metadata,
                                      std::string_view text,
                                      std::string_view finish_reason,
--- a/src/entry/detail/completion_flow.h
+++ b/src/entry/detail/completion_flow.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief The way of a completion: from a caller's request to its one final
-/// answer.
+/// @brief Handles completion requests from arrival to the single final
+/// response.
 #pragma once
 
 #include <map>
@@ -16,13 +16,13 @@
 /// @brief Serves /v1/completions and /v1/chat/completions.
 class CompletionHandler {
  public:
-  /// @param shared the host's state; outlives the flow
+  /// @param shared state of the host; must outlive this object
   explicit CompletionHandler(HostContext& shared);
 
-  /// @brief Takes a caller's request; it is answered at once or kept.
+  /// @brief Handles a caller's request: rejects it at once, or admits it.
   void Handle(const CallerRequest& request, CompletionKind kind);
 
-  /// @return whether a request is one of this flow's
+  /// @return whether this handler has the request in progress
   bool Owns(RequestId id) const;
 
   // ---- Decisions of the dispatcher ----
@@ -31,26 +31,26 @@
   void OnWaiting(const Waiting& waiting);
   void OnSetPriority(const SetPriority& priority);
 
-  // ---- Events of the adapters ----
+  // ---- Events from the adapters ----
   void OnCallerGone(RequestId id);
   void OnCallerDrained(const CallerDrained& drained);
   void OnHead(RequestId id, const HttpHead& head);
   void OnChunk(RequestId id, const HttpChunk& chunk);
   void OnDone(RequestId id, const HttpDone& done);
 
-  /// @brief Gives a request up at its deadline, with its final answer.
+  /// @brief Ends a request at its deadline with a final response.
   void OnDeadline(RequestId id);
 
-  /// @brief Tells a waiting stream its place.
+  /// @brief Sends the queue position to the caller of a waiting stream.
   void OnNoticeDue(const WaitNotice& notice);
 
-  /// @brief Lets stalls and resumes come due.
+  /// @brief Runs the timers of the streams, such as stalls and resumes.
   void Tick();
 
-  /// @return when Tick is due at the latest
+  /// @return the latest time at which Tick must be called
   Instant NextWakeup() const;
 
-  /// @return how many completions are in progress
+  /// @return the number of completions in progress
   std::size_t InProgress() const { return this->completions.size(); }
 
  private:
@@ -82,8 +82,7 @@
 
   HostContext& shared;
   std::map<RequestId, Completion> completions;
-  std::set<std::pair<Instant, RequestId>>
-      wakeups;  ///< of streams that are timed
+  std::set<std::pair<Instant, RequestId>> wakeups;  ///< timers of the streams
   std::uint64_t generations = 0;
 };
 
--- a/src/entry/detail/entry_host.h
+++ b/src/entry/detail/entry_host.h
@@ -1,5 +1,6 @@
 /// @file
-/// @brief EntryHost composes the slices behind one step function.
+/// @brief EntryHost combines the components of an entry host behind one step
+/// function.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +13,7 @@
 
 namespace limpetlink {
 
-/// @brief What an entry host is built with.
+/// @brief Settings of an entry host.
 struct EntryHostSettings {
   HostId self;
   FailureDomainId failure_domain;
@@ -20,50 +21,51 @@
   std::string platform_url;  ///< "http://ip:port" of the platform's object API
   std::string fleet_name;    ///< name of the fleet document's object
   std::string
-      resume_secret;  ///< key of the resume tokens' MAC; equal on all hosts
-  std::string operator_key_digest;  ///< SHA-256 of the operators' key,
-                                    ///< hexadecimal; empty: none
+      resume_secret;  ///< MAC key of the resume tokens; equal on all hosts
+  std::string operator_key_digest;  ///< SHA-256 of the operators' key in
+                                    ///< hexadecimal; empty if there is none
   std::uint64_t seed = 1;
 };
 
-/// @brief The decisions of one entry host; no I/O, clock, thread or random
-/// device inside.
+/// @brief Decision logic of an entry host, without I/O, clock, threads or
+/// random device.
 /// @note Example:
 /// @code
 /// EntryHost host(settings);
-/// for (const Action& action : host.Start(now)) { carry_out(action); }
-/// for (const Action& action : host.Step(now, event)) { carry_out(action); }
-/// for (const Action& action : host.Tick(now)) { carry_out(action); }  // by
-/// NextWakeup()
+/// for (const Action& action : host.Start(now)) { execute(action); }
+/// for (const Action& action : host.Step(now, event)) { execute(action); }
+/// // At host.NextWakeup() or earlier:
+/// for (const Action& action : host.Tick(now)) { execute(action); }
 /// @endcode
 class EntryHost {
  public:
-  /// @param settings who this host is and whom it talks to
+  /// @param settings identity, addresses and keys of the host
   explicit EntryHost(EntryHostSettings settings);
   ~EntryHost();
   EntryHost(const EntryHost&) = delete;
   EntryHost& operator=(const EntryHost&) = delete;
 
-  /// @brief Begins: reads the fleet document, joins the other hosts.
+  /// @brief Starts reading the fleet document and joins the other hosts.
   Actions Start(Instant now);
 
-  /// @brief Takes one event in and says what follows.
-  /// @param now core time, never earlier than at the step before
-  /// @param event what happened
-  /// @return orders in sequence
+  /// @brief Handles one event.
+  /// @param now core time; must not be earlier than in the previous call
+  /// @param event the event
+  /// @return actions, to be executed in sequence
   Actions Step(Instant now, const Event& event);
 
-  /// @brief Lets time pass: deadlines, probes, refreshes.
+  /// @brief Runs the timers: deadlines, probes and refreshes.
   Actions Tick(Instant now);
 
-  /// @brief Begins a graceful shutdown: unready at once, nothing in progress is
-  /// cut.
+  /// @brief Begins a graceful shutdown: the host becomes unready at once and
+  /// completes the requests in progress.
   Actions Drain(Instant now);
 
-  /// @return when Tick is due at the latest
+  /// @return the latest time at which Tick must be called
   Instant NextWakeup() const;
 
-  /// @return whether a shutdown was begun and nothing is in progress any more
+  /// @return whether a shutdown has begun and no request or log write is in
+  /// progress
   bool Drained() const;
 
  private:
--- a/src/entry/detail/host_context.h
+++ b/src/entry/detail/host_context.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What the flows of one entry host share.
+/// @brief State shared by the components of an entry host.
 #pragma once
 
 #include <cstdint>
@@ -19,35 +19,37 @@
 
 namespace limpetlink {
 
-/// @brief State shared by the flows. Orders are gathered in `actions`, the
-/// dispatcher's decisions in
-///        `decisions`; EntryHost hands both on after each step.
+/// @brief State shared by the components of an entry host.
+///
+/// `actions` collects the actions for the adapters, `decisions` those of the
+/// dispatcher; EntryHost processes both after each step.
 struct HostContext {
-  /// @param host_settings who this host is
+  /// @param host_settings settings of the host
   explicit HostContext(EntryHostSettings host_settings);
 
-  /// @brief Tells the dispatcher something and keeps its decisions.
+  /// @brief Sends a message to the dispatcher and queues its decisions.
   void Dispatch(const DispatchMessage& message);
 
-  /// @brief Opens a call and orders it.
-  /// @param owner whose call it is
-  /// @param call the order; its id is filled in
+  /// @brief Registers an HTTP call and adds the action that starts it.
+  /// @param owner component that handles the events of the call
+  /// @param call the call; its id is assigned here
   /// @return the call's id
   CallId StartHttp(CallOwner owner, HttpCall call);
 
-  /// @brief Closes a call that may still be open and orders its end.
+  /// @brief Closes a call and adds the action that cancels it; does nothing if
+  /// the call is not open.
   void CancelHttp(CallId id);
 
-  /// @brief Writes a log line about a request.
+  /// @brief Logs an event of a request with its trace and span ids.
   void Log(LogLevel level, std::string message, const TraceContext& trace,
            std::vector<LogField> fields);
 
-  /// @brief Writes the span of a finished hop.
+  /// @brief Records a span that ends now.
   void FinishSpan(const TraceContext& trace, std::string name, Instant start,
                   std::vector<LogField> attributes);
 
-  /// @brief Finds an upstream of the document in force.
-  /// @return the upstream, or nullptr
+  /// @brief Finds an upstream of the active fleet document.
+  /// @return the upstream, or nullptr if there is none
   const Upstream* FindUpstream(const UpstreamId& id) const;
 
   EntryHostSettings settings;
@@ -57,17 +59,17 @@
   std::deque<DispatchAction> decisions;
   CallTable calls;
   std::shared_ptr<const FleetDocument>
-      document;                     ///< null until the first is adopted
-  std::uint64_t fleet_version = 0;  ///< the platform's version of the document
+      document;  ///< active document; null before the first one
+  std::uint64_t fleet_version = 0;  ///< version of the document on the platform
   Dispatcher dispatcher;
   RequestTable requests;
   HostMetrics metrics;
   bool draining = false;
   Instant pause_detected_at =
-      Instant::min();  ///< when this host last noticed that it had been paused
+      Instant::min();  ///< when a pause of this process was last detected
 
-  /// @return whether the host was paused a moment ago, so that others may have
-  /// taken its work up
+  /// @return whether a pause of this process was detected in the last 10 s, so
+  /// that other hosts may have continued its requests
   bool RecentlyPaused() const;
 };
 
--- a/src/entry/detail/host_metrics.h
+++ b/src/entry/detail/host_metrics.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What an entry host counts and measures.
+/// @brief Metrics of an entry host.
 #pragma once
 
 #include <array>
@@ -11,7 +11,7 @@
 
 namespace limpetlink {
 
-/// @brief Things that are counted since the host started.
+/// @brief Counters since the start of the host.
 enum class Counter {
   kRequests,
   kRefusals,
@@ -30,7 +30,7 @@
   kCount,
 };
 
-/// @brief Distributions of time, in seconds.
+/// @brief Histograms of durations, in seconds.
 enum class Timing { kFirstToken, kBetweenTokens, kQueueWait, kRequest, kCount };
 
 /// @brief Counters and histograms of one host.
@@ -38,16 +38,16 @@
  public:
   HostMetrics();
 
-  /// @brief Counts. Constant time.
+  /// @brief Increases a counter. Constant time.
   void Add(Counter counter, std::uint64_t amount = 1);
 
-  /// @return a counter's value
+  /// @return the value of a counter
   std::uint64_t Value(Counter counter) const;
 
   /// @brief Records a duration. Constant time.
   void Record(Timing timing, Duration value);
 
-  /// @brief Writes all of them in the Prometheus text format, with units and
+  /// @brief Renders all metrics in the Prometheus text format, with units and
   /// help.
   std::string Render() const;
 
--- a/src/entry/detail/log_storage.h
+++ b/src/entry/detail/log_storage.h
@@ -1,6 +1,5 @@
 /// @file
-/// @brief Carries the idempotency log's operations to the platform's object
-/// API.
+/// @brief Storage of the idempotency log in the platform's object API.
 #pragma once
 
 #include <map>
@@ -12,23 +11,22 @@
 
 namespace limpetlink {
 
-/// @brief Turns the log's operations into calls of the platform client, and
-/// their results back.
+/// @brief Translates operations of the idempotency log to calls of the platform
+/// client, and the results back.
 class LogStorage {
  public:
-  /// @param platform outlives this
+  /// @param platform the platform client; must outlive this object
   explicit LogStorage(MetadataStoreClient& platform);
 
-  /// @brief Begins an operation.
+  /// @brief Starts an operation.
   void Start(Instant now, const LogCreate& create);
   void Start(Instant now, const LogRead& read);
   void Start(Instant now, const LogList& list);
   void Start(Instant now, const LogDelete& remove);
 
-  /// @brief Takes a platform operation's result.
-  /// @return the log operations that ended by it: one, or none when the
-  /// operation was not of the
-  ///         log or goes on with the next page of a list
+  /// @brief Handles the result of a platform operation.
+  /// @return the completed log operation; empty if the operation does not
+  /// belong to the log or continues with the next page of a list
   std::vector<LogOperationResult> OnStoreResult(Instant now,
                                                 const StoreResult& result);
 
@@ -36,7 +34,7 @@
   struct OpenOperation {
     LogOperationId operation;
     std::string prefix;              ///< of a list
-    std::vector<std::string> names;  ///< pages of a list so far
+    std::vector<std::string> names;  ///< names of the list pages read so far
   };
 
   void RequestNextPage(Instant now, OpenOperation list);
--- a/src/entry/detail/operator_pages.h
+++ b/src/entry/detail/operator_pages.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What operators and balancers read from a host.
+/// @brief HTTP endpoints for operators and load balancers.
 #pragma once
 
 #include <functional>
@@ -13,14 +13,14 @@
 /// /v1/drain.
 class OperatorEndpoints {
  public:
-  /// @param shared the host's state; outlives the pages
-  /// @param cluster document and membership; outlives the pages
-  /// @param drain begins a graceful shutdown
+  /// @param shared state of the host; must outlive this object
+  /// @param cluster document and membership; must outlive this object
+  /// @param begin_drain begins a graceful shutdown
   OperatorEndpoints(HostContext& shared, const ClusterSync& cluster,
                     std::function<void()> begin_drain);
 
-  /// @brief Answers a request for one of the pages.
-  /// @return false when the path is none of them
+  /// @brief Responds to a request for one of the endpoints.
+  /// @return false if the path is none of them
   bool Handle(const CallerRequest& request);
 
  private:
--- a/src/entry/detail/reply.h
+++ b/src/entry/detail/reply.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Answers to callers in the few shapes that the host gives them.
+/// @brief Helpers that create the response actions for callers.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -10,29 +10,28 @@
 
 namespace limpetlink {
 
-/// @brief Answers with a whole body.
-/// @param actions where the orders go
+/// @brief Responds with a complete body.
+/// @param actions receives the response actions
 /// @param id the request
 /// @param status HTTP status
-/// @param content_type the body's media type
+/// @param content_type media type of the body
 /// @param body the body
 void ReplyWithBody(Actions& actions, RequestId id, int status,
                    std::string content_type, std::string body);
 
-/// @brief Answers with JSON.
+/// @brief Responds with a JSON body.
 void ReplyJson(Actions& actions, RequestId id, int status,
                const nlohmann::json& body);
 
-/// @brief Answers with problem+json, and Retry-After in whole seconds where the
-/// problem says when
-///        to come back.
+/// @brief Responds with application/problem+json, and with Retry-After in whole
+/// seconds if the problem has a retry time.
 void ReplyProblem(Actions& actions, RequestId id, const Problem& problem);
 
-/// @brief Writes JSON on one line; bytes that are no UTF-8 are replaced.
+/// @brief Renders JSON on one line; invalid UTF-8 is replaced.
 std::string DumpJson(const nlohmann::json& value);
 
-/// @brief Gives the value of a Retry-After header.
-/// @param wait how long to wait
+/// @brief Renders the value of a Retry-After header.
+/// @param wait time to wait
 /// @return whole seconds, rounded up, at least 1
 std::string RetryAfterValue(Duration wait);
 
--- a/src/entry/detail/service_flow.h
+++ b/src/entry/detail/service_flow.h
@@ -1,7 +1,6 @@
 /// @file
-/// @brief The way of a request to an application service: looked up again at
-/// will, or run at most
-///        once.
+/// @brief Handles requests to application services: idempotent requests are
+/// retried freely, other requests run at most once.
 #pragma once
 
 #include <map>
@@ -18,22 +17,24 @@
 /// @brief Serves /v1/services/{service}/...
 class ServiceHandler {
  public:
-  /// @param shared the host's state; outlives the flow
-  /// @param platform keeps the idempotency log; outlives the flow
+  /// @param shared state of the host; must outlive this object
+  /// @param platform stores the idempotency log; must outlive this object
   ServiceHandler(HostContext& shared, MetadataStoreClient& platform);
 
-  /// @return whether a path is one of this flow's
+  /// @return whether a path is below /v1/services/
   static bool IsServicePath(std::string_view path);
 
-  /// @brief What a refusal may say of a request that the log was not asked
-  /// about: `unknown` for a
-  ///        keyed one that its caller may have sent before, else `not_run`.
+  /// @brief Returns the outcome to report for a request that is refused before
+  /// the idempotency log was consulted.
+  /// @return `unknown` for a keyed request that its caller may have sent
+  /// before, else `not_run`
   static Outcome RefusalOutcome(const Headers& headers);
 
-  /// @brief Takes a caller's request; it is answered at once or kept.
+  /// @brief Handles a caller's request: rejects it at once, or admits it.
   void Handle(const CallerRequest& request);
 
-  /// @return whether a request, or a copy of it, is one of this flow's
+  /// @return whether this handler has the request, or the request of a
+  /// hedged attempt, in progress
   bool Owns(RequestId id) const;
 
   // ---- Decisions of the dispatcher ----
@@ -49,17 +50,17 @@
   void OnPlatform(const StoreResult& result);
   void OnWallClock(const WallClockRead& clock);
 
-  /// @brief Gives a request up at its deadline, with its final answer.
+  /// @brief Ends a request at its deadline with a final response.
   void OnDeadline(RequestId id);
 
-  /// @brief Lets hedges and the log come due.
+  /// @brief Starts the hedges that are due and runs the timers of the log.
   void Tick();
 
-  /// @return when Tick is due at the latest
+  /// @return the latest time at which Tick must be called
   Instant NextWakeup() const;
 
-  /// @return whether nothing is in progress and the log has nothing left to
-  /// write
+  /// @return whether no request is in progress and the log has no pending
+  /// writes
   bool Idle() const;
 
  private:
--- a/src/entry/detail/service_request.h
+++ b/src/entry/detail/service_request.h
@@ -1,6 +1,5 @@
 /// @file
-/// @brief One caller's request to an application service while it is in
-/// progress.
+/// @brief State of a request to an application service in progress.
 #pragma once
 
 #include <cstdint>
@@ -16,13 +15,13 @@
 
 namespace limpetlink {
 
-/// @brief One copy of a request on its way to an upstream. A hedged lookup has
-/// two.
+/// @brief One attempt to run a request at an upstream. A hedged request has
+/// two open attempts.
 struct ServiceAttempt {
-  RequestId dispatch_id;  ///< what the dispatcher knows it by
+  RequestId dispatch_id;  ///< id of the attempt at the dispatcher
   bool placed = false;
   UpstreamId worker;
-  CallId call;  ///< 0: none is open
+  CallId call;  ///< 0 if no call is open
   TraceContext trace;
   Instant started;
   int status = 0;
@@ -30,23 +29,25 @@
   std::string response_body;
 };
 
-/// @brief All that the host keeps of one request to a service.
+/// @brief State of one request to a service.
 struct ServiceRequest {
   RequestId id;
   OrganisationId organisation;
   std::string service;
   std::string
-      rule;  ///< path prefix of the rule that matched; empty without one
+      rule;  ///< path prefix of the matching rule; empty if none matches
   std::string method;
   std::string
-      target;  ///< path below the service and query, as sent to the upstream
-  Headers headers;  ///< those that go on to the upstream
+      target;  ///< path below the service, and query, as sent to the upstream
+  Headers headers;  ///< headers that are forwarded to the upstream
   std::string body;
   bool idempotent = false;
-  std::string
-      key;  ///< idempotency key of a request that is not idempotent; or empty
-  bool claim_pending = false;  ///< the log has not decided yet
-  bool claimed = false;  ///< the log let it through; its end must be recorded
+  std::string key;  ///< idempotency key; empty for idempotent requests and
+                    ///< without a key
+  bool claim_pending =
+      false;  ///< the idempotency log has not decided on the key yet
+  bool claimed =
+      false;  ///< the log granted the key; the outcome must be recorded
   bool may_have_run = false;  ///< bytes may have reached an upstream
   bool caller_left = false;
   std::uint32_t attempt_count = 0;
@@ -59,21 +60,20 @@
   std::vector<ServiceAttempt> open_attempts;
 };
 
-/// @brief Where a path under /v1/services/ leads.
+/// @brief Parts of a path below /v1/services/.
 struct ServicePath {
   std::string service;
   std::string rest;  ///< begins with '/'
 };
 
-/// @brief Splits a path under /v1/services/.
-/// @param path as the caller sent it, decoded
-/// @return its parts; request.101 when it holds dot segments, which an upstream
-/// could read as
-///         another path than the rules did; request.107 without a service's
-///         name
+/// @brief Splits a path below /v1/services/.
+/// @param path decoded path of the caller's request
+/// @return the parts; request.101 if the path holds dot segments, backslashes
+/// or control bytes, as an upstream could resolve it to another path than the
+/// one matched against the rules; request.107 without a service name
 absl::StatusOr<ServicePath> ParseServicePath(std::string_view path);
 
-/// @brief Percent-encodes a path for a URL; '/' stays.
+/// @brief Percent-encodes a path for a URL; '/' is not encoded.
 std::string EncodePath(std::string_view path);
 
 }  // namespace limpetlink
--- a/src/entry/detail/trace.h
+++ b/src/entry/detail/trace.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Trace context of a request, read from and written to W3C traceparent.
+/// @brief Trace context of a request in the W3C traceparent format.
 #pragma once
 
 #include <string>
@@ -9,26 +9,26 @@
 
 namespace limpetlink {
 
-/// @brief Where a span stands in its trace.
+/// @brief Position of a span in its trace.
 struct TraceContext {
   std::string trace_id;        ///< 32 hexadecimal digits
   std::string span_id;         ///< 16 hexadecimal digits, of this hop
   std::string parent_span_id;  ///< 16 hexadecimal digits, or empty for a root
 };
 
-/// @brief Continues the caller's trace, or begins one when the header is absent
-/// or malformed.
+/// @brief Continues the caller's trace, or starts one if the traceparent header
+/// is absent or malformed.
 /// @param headers the caller's headers
 /// @param random source of new ids
-/// @return a context with a fresh span id
+/// @return a context with a new span id
 TraceContext BeginTrace(const Headers& headers, Random& random);
 
-/// @brief Makes a child of a span.
-/// @param parent the span above
+/// @brief Creates a child span.
+/// @param parent the parent span
 /// @param random source of the new span id
 TraceContext ChildTrace(const TraceContext& parent, Random& random);
 
-/// @brief Writes the traceparent header for a call made within a span.
+/// @brief Creates the traceparent header of a call made within a span.
 Header TraceHeader(const TraceContext& context);
 
 }  // namespace limpetlink
--- a/src/entry/detail/worker_reports.h
+++ b/src/entry/detail/worker_reports.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Reads the load reports of the workers that this host owns.
+/// @brief Polls the load reports of the workers that this host owns.
 #pragma once
 
 #include <functional>
@@ -11,46 +11,46 @@
 
 namespace limpetlink {
 
-/// @brief Asks each owned worker for its load, each at an interval that keeps
-/// the sum of bytes a
-///        second within bounds, and hands reports to the dispatcher.
+/// @brief Polls the load of each owned worker and forwards the reports to the
+/// dispatcher. The interval grows with the number of workers, so that the total
+/// bytes per second stay limited.
 class WorkerReportPoller {
  public:
-  /// @brief Takes whether a worker's own report says that it drains.
+  /// @brief Called with the draining flag of each load report.
   using DrainingHook =
       std::function<void(const UpstreamId& worker, bool draining)>;
 
-  /// @brief Says whether the view of the hosts, and so who owns which worker,
-  /// can be trusted.
+  /// @brief Returns whether the membership, and so the ownership of workers, is
+  /// current.
   using MembershipCurrentHook = std::function<bool()>;
 
-  /// @param shared the host's state; outlives this
-  /// @param on_drain told with each report
-  /// @param settled asked before any worker is; a host that just started would
-  /// ask them all
+  /// @param shared state of the host; must outlive this object
+  /// @param on_draining called with the draining flag of each report
+  /// @param membership_current the set of polled workers is updated only
+  /// while it returns true, as a host that has just started would otherwise
+  /// poll all workers
   WorkerReportPoller(HostContext& shared, DrainingHook on_draining,
                      MembershipCurrentHook membership_current);
 
-  /// @brief Asks the dispatcher anew which workers this host owns: the document
-  /// or the live hosts
-  ///        changed.
+  /// @brief Updates the set of owned workers from the dispatcher; called after
+  /// the document or the live hosts changed.
   void Refresh();
 
-  // ---- Events of the adapters ----
+  // ---- Events from the adapters ----
   void OnHead(const UpstreamId& worker, const HttpHead& head);
   void OnChunk(const UpstreamId& worker, const HttpChunk& chunk);
   void OnDone(const UpstreamId& worker, const HttpDone& done);
 
-  /// @brief Asks the workers that are due.
+  /// @brief Polls the workers that are due.
   void Tick();
 
-  /// @return when Tick is due at the latest
+  /// @return the latest time at which Tick must be called
   Instant NextWakeup() const;
 
  private:
   struct Poll {
     std::string url;
-    CallId call;  ///< 0: none is open
+    CallId call;  ///< 0 if no call is open
     int status = 0;
     std::string response_body;
     Instant due;
@@ -62,14 +62,14 @@
   HostContext& shared;
   DrainingHook on_draining;
   MembershipCurrentHook membership_current;
-  bool refresh_pending = false;  ///< waits for the view of the hosts to settle
+  bool refresh_pending = false;  ///< delayed until the membership is current
   std::map<UpstreamId, Poll> polls;
 };
 
-/// @brief Reads a worker's load report.
-/// @param worker whose report it is
-/// @param text JSON as of GET /v1/load
-/// @return the report, or upstream.104
+/// @brief Parses the load report of a worker.
+/// @param worker the worker that sent the report
+/// @param text JSON body of GET /v1/load
+/// @return the report, or upstream.104 if it is not a JSON object
 absl::StatusOr<WorkerReport> ParseWorkerReport(const UpstreamId& worker,
                                                std::string_view text);
 
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief The entry host's core: one deterministic state machine that a process
-/// or a bench drives.
+/// @brief The entry host core: a deterministic state machine without I/O,
+/// driven by a process, a test or a benchmark.
 #pragma once
 
 #include "entry/detail/entry_host.h"
--- a/src/entry/entry_host.cc
+++ b/src/entry/entry_host.cc
@@ -12,7 +12,7 @@
 
 namespace limpetlink {
 
-/// @brief Routes events and decisions between the flows.
+/// @brief Routes events and dispatcher decisions to the components.
 class EntryHost::Impl {
  public:
   explicit Impl(EntryHostSettings settings)
@@ -91,8 +91,8 @@
   }
 
  private:
-  /// Notices a pause before anything is decided: membership and document
-  /// refresh first.
+  /// Detects a pause of the process. After a pause the membership and the
+  /// document are refreshed before any decision.
   void BeginStep(Instant now) {
     constexpr Duration kPauseMargin = std::chrono::seconds(3);
     const bool paused = now - this->last_step_at > kPauseMargin;
@@ -133,7 +133,7 @@
     }
   }
 
-  /// Reasons that hold before anybody looks into the request.
+  /// Checks that need neither authentication nor the content of the body.
   std::optional<Problem> PrecheckRequest(const CallerRequest& request) const {
     const bool completion = request.path == "/v1/completions" ||
                             request.path == "/v1/chat/completions";
@@ -157,12 +157,12 @@
         completion ? Outcome::kNotRun
                    : ServiceHandler::RefusalOutcome(request.headers);
     if (this->shared.draining) {
-      return Problem{ErrorCode::kHostShuttingDown, outcome, "ask another host",
-                     std::chrono::seconds(1)};
+      return Problem{ErrorCode::kHostShuttingDown, outcome,
+                     "retry at another host", std::chrono::seconds(1)};
     }
     if (!this->cluster.Ready()) {
       return Problem{ErrorCode::kFleetNotReady, outcome,
-                     "this host has no newest document yet",
+                     "the fleet document of this host is not current yet",
                      std::chrono::seconds(1)};
     }
     return std::nullopt;
@@ -281,7 +281,7 @@
     } else if (this->services.Owns(place.request)) {
       this->services.OnPlace(place);
     } else {
-      // Answered meanwhile: the worker's place is free again.
+      // The request has already ended: release the slot at the worker.
       this->shared.Dispatch(
           ReportEnded{place.request, PlacementEnd::kCancelled, 0});
     }
--- a/src/entry/operator_pages.cc
+++ b/src/entry/operator_pages.cc
@@ -43,9 +43,10 @@
                  {ErrorCode::kHostShuttingDown, Outcome::kNotRun, "draining",
                   std::nullopt});
   } else if (!this->cluster.Ready()) {
-    ReplyProblem(this->shared.actions, id,
-                 {ErrorCode::kFleetNotReady, Outcome::kNotRun,
-                  "no newest document yet", std::chrono::seconds(1)});
+    ReplyProblem(
+        this->shared.actions, id,
+        {ErrorCode::kFleetNotReady, Outcome::kNotRun,
+         "the fleet document is not current yet", std::chrono::seconds(1)});
   } else {
     ReplyWithBody(this->shared.actions, id, 200, "text/plain", "ready\n");
   }
@@ -95,9 +96,10 @@
   std::optional<OrganisationId> organisation_filter;
   if (!IsOperator(this->shared.settings.operator_key_digest, request.headers)) {
     if (this->shared.document == nullptr) {
-      ReplyProblem(this->shared.actions, request.id,
-                   {ErrorCode::kFleetNotReady, Outcome::kNotRun,
-                    "no document yet", std::chrono::seconds(1)});
+      ReplyProblem(
+          this->shared.actions, request.id,
+          {ErrorCode::kFleetNotReady, Outcome::kNotRun,
+           "the fleet document is not loaded yet", std::chrono::seconds(1)});
       return;
     }
     const auto organisation =
--- a/src/entry/service_flow.cc
+++ b/src/entry/service_flow.cc
@@ -11,7 +11,7 @@
 namespace limpetlink {
 namespace {
 
-/// Marks the dispatcher's id of a hedged lookup's second copy.
+/// Set in the dispatcher id of a hedged attempt.
 constexpr std::uint64_t kHedgeBit = std::uint64_t{1} << 63U;
 constexpr std::size_t kMaxResponseBytes = 8UL * 1024UL * 1024UL;
 constexpr std::uint32_t kMaxAttempts = 3;
@@ -54,7 +54,8 @@
       absl::StrCat(request.method, " ", request.target, "\n", request.body));
 }
 
-/// An upstream that will not run a request says so in the body of a 503.
+/// Returns whether the upstream reports in the body of a 503 that it did not
+/// run the request.
 bool IsNotRunResponse(const ServiceAttempt& attempt) {
   constexpr int kUnavailable = 503;
   if (attempt.status != kUnavailable) {
@@ -145,7 +146,7 @@
   const std::string* key = FindHeader(request.headers, "Idempotency-Key");
   if (key != nullptr && (key->empty() || key->size() > kMaxKeyBytes)) {
     return MakeStatus(ErrorCode::kRequestMalformed,
-                      "Idempotency-Key: 1 to 255 bytes");
+                      "Idempotency-Key must have 1 to 255 bytes");
   }
   if (key != nullptr && !accepted.idempotent) {
     accepted.key = *key;
@@ -157,7 +158,7 @@
        accepted.deadline, accepted.trace.trace_id, false});
   if (admitted != AdmitResult::kAdmitted) {
     return MakeStatus(ErrorCode::kRequestDeadlinePast,
-                      "the deadline is not ahead");
+                      "the deadline has already passed");
   }
   ServiceRequest& stored =
       this->requests.emplace(accepted.id, std::move(accepted)).first->second;
@@ -266,12 +267,12 @@
   const bool running =
       !request.open_attempts.empty() && request.open_attempts.front().placed;
   if (!request.idempotent && running) {
-    return;  // it may be running: let it end, so that its outcome can be kept
+    return;  // may be running: wait for the outcome, which is recorded
   }
   if (request.claim_pending) {
     this->StepLog(AbandonClaim{id});
     if (!this->Owns(id)) {
-      return;  // the log answered it
+      return;  // the log already ended the request
     }
   }
   this->EndAllAttempts(request, PlacementEnd::kCancelled);
@@ -357,7 +358,7 @@
   request.excluded.push_back(request.open_attempts[index].worker);
   this->EndAttempt(request, index, end);
   if (!request.open_attempts.empty()) {
-    return;  // the other copy goes on
+    return;  // the other attempt continues
   }
   const bool retryable = request.idempotent || (request.claimed && not_run);
   if (retryable && request.attempt_count < kMaxAttempts &&
@@ -371,9 +372,9 @@
       end == PlacementEnd::kNotConnected ? ErrorCode::kUpstreamUnreachable
       : end == PlacementEnd::kRefused    ? ErrorCode::kUpstreamRefused
                                          : ErrorCode::kUpstreamCut;
-  this->FailRequest(request,
-                    {code, Outcome::kNotRun, "the upstream gave no answer",
-                     kRetryAfterFailure});
+  this->FailRequest(
+      request, {code, Outcome::kNotRun,
+                "the upstream sent no complete response", kRetryAfterFailure});
 }
 
 void ServiceHandler::EndAttempt(ServiceRequest& request, std::size_t index,
@@ -412,7 +413,7 @@
   if (claim_was_pending) {
     this->StepLog(AbandonClaim{id});
     if (!this->Owns(id)) {
-      return;  // the log answered it
+      return;  // the log already ended the request
     }
   }
   this->EndAllAttempts(request, PlacementEnd::kCancelled);
@@ -420,11 +421,11 @@
   request.may_have_run = request.may_have_run || claim_was_pending;
   this->FailRequest(request,
                     {ErrorCode::kRequestDeadlineReached, Outcome::kNotRun,
-                     "the deadline was reached before an answer came",
+                     "the deadline was reached before a response arrived",
                      std::max(request.expected_wait, kRetryAfterFailure)});
 }
 
-// ---- Hedging and time ----
+// ---- Hedging and timers ----
 
 void ServiceHandler::Tick() {
   std::vector<RequestId> due;
@@ -530,7 +531,7 @@
   }
 }
 
-// ---- Answers ----
+// ---- Responses ----
 
 void ServiceHandler::FailRequest(ServiceRequest& request, Problem problem) {
   if (this->shared.requests.Finish(request.id) != FinishResult::kSend) {
--- a/src/entry/service_request.cc
+++ b/src/entry/service_request.cc
@@ -46,19 +46,19 @@
       slash == std::string_view::npos ? "/" : std::string(below.substr(slash));
   if (parts.service.empty()) {
     return MakeStatus(ErrorCode::kRequestUnknownService,
-                      "name a service in the path");
+                      "the path must name a service");
   }
   return parts;
 }
 
 std::string EncodePath(std::string_view path) {
   constexpr std::string_view kDigits = "0123456789ABCDEF";
-  constexpr std::string_view kPlain = "/-._~!$&'()*+,;=:@";
+  constexpr std::string_view kUnescaped = "/-._~!$&'()*+,;=:@";
   std::string text;
   for (const char c : path) {
     const bool letter = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z');
     const bool digit = c >= '0' && c <= '9';
-    if (letter || digit || kPlain.find(c) != std::string_view::npos) {
+    if (letter || digit || kUnescaped.find(c) != std::string_view::npos) {
       text.push_back(c);
     } else {
       const auto byte = static_cast<unsigned char>(c);
--- a/src/entry/tests/caller_access_test.cc
+++ b/src/entry/tests/caller_access_test.cc
@@ -18,15 +18,16 @@
 };
 
 TEST_CASE_METHOD(CallerAccessFixture,
-                 "caller, with a known key, is its organisation") {
+                 "authentication, with a known key, finds the organisation") {
   const auto found =
       AuthenticateCaller(this->document, {{"authorization", "Bearer key-2"}});
   REQUIRE(found.ok());
   CHECK((*found)->id == OrganisationId{"north"});
 }
 
-TEST_CASE_METHOD(CallerAccessFixture,
-                 "caller, without a usable key, gets the fitting code") {
+TEST_CASE_METHOD(
+    CallerAccessFixture,
+    "authentication, without a valid key, returns the matching error code") {
   CHECK(ErrorCodeOf(AuthenticateCaller(this->document, {}).status()) ==
         ErrorCode::kRequestNoKey);
   CHECK(ErrorCodeOf(
@@ -37,28 +38,31 @@
                 .status()) == ErrorCode::kRequestWrongKey);
 }
 
-TEST_CASE("operator, key by digest, is told from others") {
+TEST_CASE(
+    "operator key, compared by digest, is distinguished from other keys") {
   CHECK(IsOperator(Sha256Hex("op"), {{"Authorization", "Bearer op"}}));
   CHECK_FALSE(IsOperator(Sha256Hex("op"), {{"Authorization", "Bearer other"}}));
   CHECK_FALSE(IsOperator("", {{"Authorization", "Bearer "}}));
 }
 
-TEST_CASE("caller wait, by Prefer header, is bounded and checked") {
-  const Duration normal = std::chrono::seconds(10);
-  const Duration longest = std::chrono::seconds(60);
-  CHECK(*ParsePreferredWait({}, normal, longest) == normal);
-  CHECK(*ParsePreferredWait({{"Prefer", "respond-async, wait=2.5"}}, normal,
-                            longest) == std::chrono::milliseconds(2500));
-  CHECK(*ParsePreferredWait({{"Prefer", "wait=1e30"}}, normal, longest) ==
-        longest);
-  CHECK(ErrorCodeOf(ParsePreferredWait({{"Prefer", "wait=0"}}, normal, longest)
-                        .status()) == ErrorCode::kRequestDeadlinePast);
-  CHECK(
-      ErrorCodeOf(ParsePreferredWait({{"Prefer", "wait=nan"}}, normal, longest)
-                      .status()) == ErrorCode::kRequestDeadlinePast);
-  CHECK(
-      ErrorCodeOf(ParsePreferredWait({{"Prefer", "wait=soon"}}, normal, longest)
-                      .status()) == ErrorCode::kRequestMalformed);
+TEST_CASE("Prefer header, wait preference, is limited and validated") {
+  const Duration default_wait = std::chrono::seconds(10);
+  const Duration max_wait = std::chrono::seconds(60);
+  CHECK(*ParsePreferredWait({}, default_wait, max_wait) == default_wait);
+  CHECK(*ParsePreferredWait({{"Prefer", "respond-async, wait=2.5"}},
+                            default_wait,
+                            max_wait) == std::chrono::milliseconds(2500));
+  CHECK(*ParsePreferredWait({{"Prefer", "wait=1e30"}}, default_wait,
+                            max_wait) == max_wait);
+  CHECK(ErrorCodeOf(
+            ParsePreferredWait({{"Prefer", "wait=0"}}, default_wait, max_wait)
+                .status()) == ErrorCode::kRequestDeadlinePast);
+  CHECK(ErrorCodeOf(
+            ParsePreferredWait({{"Prefer", "wait=nan"}}, default_wait, max_wait)
+                .status()) == ErrorCode::kRequestDeadlinePast);
+  CHECK(ErrorCodeOf(ParsePreferredWait({{"Prefer", "wait=soon"}}, default_wait,
+                                       max_wait)
+                        .status()) == ErrorCode::kRequestMalformed);
 }
 
 }  // namespace
--- a/src/entry/tests/completion_body_test.cc
+++ b/src/entry/tests/completion_body_test.cc
@@ -7,7 +7,7 @@
 namespace {
 
 TEST_CASE(
-    "completion body, text endpoint, gives model, prompt, bound and stream") {
+    "completion body, text endpoint, has model, prompt, limit and stream") {
   const auto body = ParseCompletionBody(
       CompletionKind::kText,
       R"({"model":"m","prompt":"hello","max_tokens":5,"stream":true})");
@@ -28,20 +28,20 @@
   CHECK_FALSE(body->stream);
 }
 
-TEST_CASE("completion body, malformed, is refused with request.101") {
-  for (const char* bad :
+TEST_CASE("completion body, malformed, is rejected with request.101") {
+  for (const char* malformed :
        {"", "[]", "{", R"({"prompt":"x"})", R"({"model":1,"prompt":"x"})",
         R"({"model":"m"})", R"({"model":"m","prompt":"x","max_tokens":0})",
         R"({"model":"m","prompt":"x","max_tokens":"5"})",
         R"({"model":"m","prompt":"x","max_tokens":99999999999999999999})",
         R"({"model":"m","prompt":"x","stream":"yes"})"}) {
-    const auto body = ParseCompletionBody(CompletionKind::kText, bad);
+    const auto body = ParseCompletionBody(CompletionKind::kText, malformed);
     CHECK(ErrorCodeOf(body.status()) == ErrorCode::kRequestMalformed);
   }
 }
 
 TEST_CASE(
-    "prefix blocks, prompts with a common start, share the leading hashes "
+    "prefix blocks, prompts with a common prefix, share the leading hashes "
     "only") {
   const std::string common(512, 'a');
   const auto first = HashPrefixBlocks("m", common + std::string(256, 'b'));
@@ -52,7 +52,8 @@
   CHECK(HashPrefixBlocks("other", common)[0] != first[0]);
 }
 
-TEST_CASE("answer texts, chunk and whole, have the OpenAI-compatible shape") {
+TEST_CASE(
+    "response bodies, chunk and complete, have the OpenAI-compatible shape") {
   const ResponseMetadata metadata{CompletionKind::kChat, "c1", "m"};
   const auto chunk =
       nlohmann::json::parse(ChunkWriter(metadata).TokenChunk("a\"b"));
--- a/src/entry/tests/reply_test.cc
+++ b/src/entry/tests/reply_test.cc
@@ -6,7 +6,7 @@
 namespace {
 
 TEST_CASE(
-    "problem reply, with a time to come back, carries whole seconds in "
+    "problem reply, with a retry time, has whole seconds in "
     "Retry-After") {
   Actions actions;
   ReplyProblem(actions, RequestId{7},
@@ -19,7 +19,7 @@
   CHECK(std::get<ReplyEnd>(actions[2]).id == RequestId{7});
 }
 
-TEST_CASE("retry-after text, shorter than a second, is at least one") {
+TEST_CASE("Retry-After value, below one second, is at least one") {
   CHECK(RetryAfterValue(Duration(0)) == "1");
   CHECK(RetryAfterValue(std::chrono::seconds(3)) == "3");
 }
--- a/src/entry/tests/trace_test.cc
+++ b/src/entry/tests/trace_test.cc
@@ -17,18 +17,19 @@
   CHECK(context.span_id != context.parent_span_id);
 }
 
-TEST_CASE("trace, malformed traceparent, begins a new trace") {
+TEST_CASE("trace, malformed traceparent, starts a new trace") {
   Random random(1);
-  for (const char* bad :
+  for (const char* malformed :
        {"", "00-xyz", "00-00000000000000000000000000000000-b7ad6b7169203331-01",
         "00-0AF7651916CD43DD8448EB211C80319C-b7ad6b7169203331-01"}) {
-    const TraceContext context = BeginTrace({{"traceparent", bad}}, random);
+    const TraceContext context =
+        BeginTrace({{"traceparent", malformed}}, random);
     CHECK(context.trace_id.size() == 32);
     CHECK(context.parent_span_id.empty());
   }
 }
 
-TEST_CASE("child trace, of a span, keeps the trace and names its parent") {
+TEST_CASE("child trace, of a span, keeps the trace id and the parent span id") {
   Random random(1);
   const TraceContext parent = BeginTrace({{"traceparent", kParent}}, random);
   const TraceContext child = ChildTrace(parent, random);
--- a/src/entry/trace.cc
+++ b/src/entry/trace.cc
@@ -7,7 +7,8 @@
 
 constexpr std::size_t kTraceIdDigits = 32;
 constexpr std::size_t kSpanIdDigits = 16;
-constexpr std::size_t kTraceparentSize = 55;  // "00-" trace "-" span "-" flags
+constexpr std::size_t kTraceparentSize =
+    55;  // "00-" trace id "-" span id "-" flags
 
 std::string HexDigits(Random& random, std::size_t count) {
   constexpr std::string_view kDigits = "0123456789abcdef";
--- a/src/entry/worker_reports.cc
+++ b/src/entry/worker_reports.cc
@@ -13,9 +13,9 @@
 
 constexpr std::size_t kMaxReportBytes = 65536;
 constexpr std::int64_t kBytesPerPoll =
-    500;  // request and answer with their headers
+    500;  // request and response with their headers
 constexpr std::int64_t kPollBytesPerSecond =
-    600;  // of the host's 2 KB/s for control
+    600;  // of the 2 KB/s that a host may use for control traffic
 constexpr Duration kMinInterval = std::chrono::milliseconds(500);
 constexpr Duration kReportTimeout = std::chrono::seconds(2);
 
