--- a/src/entry/cluster_flow.cc
+++ b/src/entry/cluster_sync.cc
@@ -1,4 +1,4 @@
-#include "entry/detail/cluster_flow.h"
+#include "entry/detail/cluster_sync.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/entry/completion_orders.cc
+++ b/src/entry/completion_actions.cc
@@ -3,7 +3,7 @@
 #include <nlohmann/json.hpp>
 
 #include "absl/strings/str_cat.h"
-#include "entry/detail/completion_flow.h"
+#include "entry/detail/completion_handler.h"
 #include "entry/detail/reply.h"
 
 namespace limpetlink {
--- a/src/entry/completion_flow.cc
+++ b/src/entry/completion_handler.cc
@@ -1,4 +1,4 @@
-#include "entry/detail/completion_flow.h"
+#include "entry/detail/completion_handler.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/src/entry/detail/operator_pages.h
+++ b/src/entry/detail/operator_endpoints.h
@@ -4,7 +4,7 @@
 
 #include <functional>
 
-#include "entry/detail/cluster_flow.h"
+#include "entry/detail/cluster_sync.h"
 #include "entry/detail/host_context.h"
 
 namespace limpetlink {
--- a/src/entry/entry_host.cc
+++ b/src/entry/entry_host.cc
@@ -1,13 +1,13 @@
 #include <algorithm>
 #include <utility>
 
-#include "entry/detail/cluster_flow.h"
-#include "entry/detail/completion_flow.h"
+#include "entry/detail/cluster_sync.h"
+#include "entry/detail/completion_handler.h"
 #include "entry/detail/host_context.h"
-#include "entry/detail/operator_pages.h"
+#include "entry/detail/operator_endpoints.h"
 #include "entry/detail/reply.h"
-#include "entry/detail/service_flow.h"
-#include "entry/detail/worker_reports.h"
+#include "entry/detail/service_handler.h"
+#include "entry/detail/worker_report_poller.h"
 #include "entry/entry.h"
 
 namespace limpetlink {
--- a/src/entry/operator_pages.cc
+++ b/src/entry/operator_endpoints.cc
@@ -1,4 +1,4 @@
-#include "entry/detail/operator_pages.h"
+#include "entry/detail/operator_endpoints.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/entry/service_flow.cc
+++ b/src/entry/service_handler.cc
@@ -1,4 +1,4 @@
-#include "entry/detail/service_flow.h"
+#include "entry/detail/service_handler.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/src/entry/worker_reports.cc
+++ b/src/entry/worker_report_poller.cc
@@ -1,4 +1,4 @@
-#include "entry/detail/worker_reports.h"
+#include "entry/detail/worker_report_poller.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
