--- a/src/entry/caller_access.cc
+++ b/src/entry/caller_access.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-absl::StatusOr<std::string> BearerKey(const Headers& headers) {
+absl::StatusOr<std::string> ParseBearerKey(const Headers& headers) {
   const std::string* header = FindHeader(headers, "Authorization");
   if (header == nullptr || !absl::StartsWithIgnoreCase(*header, kBearer) ||
       header->size() == kBearer.size()) {
@@ -27,7 +27,7 @@
 
 absl::StatusOr<const Organisation*> AuthenticateCaller(
     const FleetDocument& document, const Headers& headers) {
-  const absl::StatusOr<std::string> key = BearerKey(headers);
+  const absl::StatusOr<std::string> key = ParseBearerKey(headers);
   if (!key.ok()) {
     return key.status();
   }
@@ -48,13 +48,14 @@
 }
 
 bool IsOperator(std::string_view digest, const Headers& headers) {
-  const absl::StatusOr<std::string> key = BearerKey(headers);
+  const absl::StatusOr<std::string> key = ParseBearerKey(headers);
   return !digest.empty() && key.ok() &&
          EqualInConstantTime(digest, Sha256Hex(*key));
 }
 
-absl::StatusOr<Duration> CallerWait(const Headers& headers,
-                                    Duration default_wait, Duration max_wait) {
+absl::StatusOr<Duration> ParsePreferredWait(const Headers& headers,
+                                            Duration default_wait,
+                                            Duration max_wait) {
   const std::string* header = FindHeader(headers, "Prefer");
   if (header == nullptr) {
     return std::min(default_wait, max_wait);
@@ -68,11 +69,11 @@
     double seconds = 0;
     if (!absl::SimpleAtod(preference, &seconds)) {
       return MakeStatus(ErrorCode::kRequestMalformed,
-                        "Prefer: wait needs a number of seconds");
+                        "Prefer: wait must be a number of seconds");
     }
     if (!(seconds > 0)) {
       return MakeStatus(ErrorCode::kRequestDeadlinePast,
-                        "Prefer: wait leaves no time");
+                        "Prefer: wait must be greater than 0");
     }
     return seconds >= ToSeconds(max_wait) ? max_wait : FromSeconds(seconds);
   }
