--- a/bench/streams.cc
+++ b/bench/streams.cc
@@ -57,7 +57,7 @@
     actions +=
         stream.Step(now, StreamFrame{1, {generation, i, " word", std::nullopt}})
             .size();
-    actions += stream.Step(now, StreamDrained{0}).size();
+    actions += stream.Step(now, StreamBufferDrained{0}).size();
   }
   Print("stream, frame to delivery", SecondsSince(start), kTokens);
   if (actions != kTokens) {
--- a/src/entry/completion_flow.cc
+++ b/src/entry/completion_flow.cc
@@ -48,7 +48,8 @@
 
 StreamCallEnd CallEndOfStatus(int status) {
   constexpr int kNotFound = 404;
-  return status == kNotFound ? StreamCallEnd::kGone : StreamCallEnd::kRefused;
+  return status == kNotFound ? StreamCallEnd::kUnknownGeneration
+                             : StreamCallEnd::kRefused;
 }
 
 }  // namespace
@@ -150,7 +151,7 @@
   this->shared.metrics.Add(Counter::kStreamsResumed);
   kept.tokens = static_cast<std::uint32_t>(token->offset);
   this->Advance(kept,
-                StreamTakeUp{token->generation, token->worker, token->offset});
+                StreamResume{token->generation, token->worker, token->offset});
   return absl::OkStatus();
 }
 
@@ -191,7 +192,7 @@
 void CompletionFlow::OnRefuse(const Refuse& refuse) {
   Completion& completion = this->completions.at(refuse.request);
   completion.placed = false;
-  this->Advance(completion, StreamGiveUp{refuse.problem});
+  this->Advance(completion, StreamAbort{refuse.problem});
 }
 
 void CompletionFlow::OnWaiting(const Waiting& waiting) {
@@ -236,7 +237,7 @@
 
 void CompletionFlow::OnCallerDrained(const CallerDrained& drained) {
   this->Advance(this->completions.at(drained.id),
-                StreamDrained{drained.buffered});
+                StreamBufferDrained{drained.buffered});
 }
 
 void CompletionFlow::OnHead(RequestId id, const HttpHead& head) {
@@ -245,7 +246,7 @@
   completion.call.status = head.status;
   const StreamAttempt attempt = completion.call.attempt;
   if (head.status == kOk) {
-    this->Advance(completion, StreamCallAlive{attempt});
+    this->Advance(completion, StreamCallActivity{attempt});
     return;
   }
   this->shared.CancelHttp(head.id);
@@ -295,9 +296,9 @@
       std::max(completion.expected_wait, kRetryAfterDeadline);
   this->Advance(
       completion,
-      StreamGiveUp{{ErrorCode::kRequestDeadlineReached, Outcome::kUnknown,
-                    "the deadline was reached before the answer was whole",
-                    retry_after}});
+      StreamAbort{{ErrorCode::kRequestDeadlineReached, Outcome::kUnknown,
+                   "the deadline was reached before the answer was whole",
+                   retry_after}});
 }
 
 void CompletionFlow::OnNoticeDue(const WaitNotice& notice) {
--- a/src/streams/detail/messages.h
+++ b/src/streams/detail/messages.h
@@ -26,7 +26,7 @@
 };
 
 /// @brief Another host served this generation before: go on at an offset.
-struct StreamTakeUp {
+struct StreamResume {
   GenerationId generation;
   UpstreamId worker;
   std::uint64_t offset = 0;  ///< tokens that the caller has
@@ -39,19 +39,19 @@
 };
 
 /// @brief The head of an answer or a comment arrived: the engine is alive.
-struct StreamCallAlive {
+struct StreamCallActivity {
   StreamAttempt attempt = 0;
 };
 
 /// @brief How a call to an engine ended.
 enum class StreamCallEnd {
-  kComplete,      ///< the answer's body ended
-  kCut,           ///< the connection broke after bytes may have been sent
-  kTimeout,       ///< the call's own time limit passed
-  kNotConnected,  ///< no byte of the request left the host
-  kRefused,       ///< the engine said it did not run it
-  kGone,          ///< the engine does not know the generation
-  kMalformed,     ///< the answer could not be read
+  kComplete,           ///< the answer's body ended
+  kCut,                ///< the connection broke after bytes may have been sent
+  kTimeout,            ///< the call's own time limit passed
+  kNotConnected,       ///< no byte of the request left the host
+  kRefused,            ///< the engine said it did not run it
+  kUnknownGeneration,  ///< the engine does not know the generation
+  kMalformed,          ///< the answer could not be read
 };
 
 template <>
@@ -62,7 +62,7 @@
       {StreamCallEnd::kTimeout, "timeout"},
       {StreamCallEnd::kNotConnected, "not_connected"},
       {StreamCallEnd::kRefused, "refused"},
-      {StreamCallEnd::kGone, "gone"},
+      {StreamCallEnd::kUnknownGeneration, "gone"},
       {StreamCallEnd::kMalformed, "malformed"}};
 };
 
@@ -73,7 +73,7 @@
 };
 
 /// @brief The caller took bytes.
-struct StreamDrained {
+struct StreamBufferDrained {
   std::size_t buffered = 0;  ///< bytes still waiting for the caller
 };
 
@@ -86,7 +86,7 @@
 
 /// @brief End the stream now: deadline, no worker to be had, or shutdown by
 /// force.
-struct StreamGiveUp {
+struct StreamAbort {
   Problem problem;  ///< its outcome is corrected by what the stream knows
 };
 
@@ -95,9 +95,9 @@
 
 /// @brief What a stream may be told.
 using StreamMessage =
-    std::variant<StreamBegin, StreamTakeUp, StreamFrame, StreamCallAlive,
-                 StreamCallEnded, StreamDrained, StreamCallerLeft, StreamGiveUp,
-                 StreamTick>;
+    std::variant<StreamBegin, StreamResume, StreamFrame, StreamCallActivity,
+                 StreamCallEnded, StreamBufferDrained, StreamCallerLeft,
+                 StreamAbort, StreamTick>;
 
 // ---- What a stream decides ----
 
@@ -157,7 +157,7 @@
   GenerationId generation;
 };
 
-/// @brief Find another worker; answered by StreamBegin or StreamGiveUp.
+/// @brief Find another worker; answered by StreamBegin or StreamAbort.
 struct RequestNewWorker {
   std::vector<UpstreamId> excluded;  ///< workers that failed this stream
   std::uint64_t delivered = 0;       ///< tokens that the caller holds; 0: the
--- a/src/streams/detail/sse.h
+++ b/src/streams/detail/sse.h
@@ -46,7 +46,7 @@
   absl::StatusOr<std::vector<SseEvent>> Feed(std::string_view bytes);
 
   /// @return comment lines seen; they show that the sender is alive
-  std::uint64_t Comments() const { return this->comment_count; }
+  std::uint64_t CommentCount() const { return this->comment_count; }
 
  private:
   absl::Status TakeLine(std::vector<SseEvent>& events);
--- a/src/streams/detail/stream.h
+++ b/src/streams/detail/stream.h
@@ -96,17 +96,17 @@
   /// @return what was dropped or met so far
   const StreamCounts& Counts() const { return this->totals; }
   /// @return what a caller may be told if the stream ended now
-  Outcome OutcomeSoFar() const;
+  Outcome CurrentOutcome() const;
 
  private:
   void Handle(Instant now, StreamBegin& message, StreamActions& out);
-  void Handle(Instant now, StreamTakeUp& message, StreamActions& out);
+  void Handle(Instant now, StreamResume& message, StreamActions& out);
   void Handle(Instant now, StreamFrame& message, StreamActions& out);
-  void Handle(Instant now, StreamCallAlive& message, StreamActions& out);
+  void Handle(Instant now, StreamCallActivity& message, StreamActions& out);
   void Handle(Instant now, StreamCallEnded& message, StreamActions& out);
-  void Handle(Instant now, StreamDrained& message, StreamActions& out);
+  void Handle(Instant now, StreamBufferDrained& message, StreamActions& out);
   void Handle(Instant now, StreamCallerLeft& message, StreamActions& out);
-  void Handle(Instant now, StreamGiveUp& message, StreamActions& out);
+  void Handle(Instant now, StreamAbort& message, StreamActions& out);
   void Handle(Instant now, StreamTick& message, StreamActions& out);
 
   bool IsCurrentCall(StreamAttempt attempt);
--- a/src/streams/stream.cc
+++ b/src/streams/stream.cc
@@ -34,7 +34,7 @@
   return kNever;
 }
 
-Outcome Stream::OutcomeSoFar() const {
+Outcome Stream::CurrentOutcome() const {
   if (this->totals.delivered > 0) {
     return Outcome::kRan;
   }
@@ -72,7 +72,7 @@
       StartCall{this->attempt, this->current_generation, this->current_worker});
 }
 
-void Stream::Handle(Instant now, StreamTakeUp& message, StreamActions& out) {
+void Stream::Handle(Instant now, StreamResume& message, StreamActions& out) {
   if (this->current_phase != StreamPhase::kWaitingForWorker ||
       this->generations > 0) {
     ++this->totals.late;
@@ -163,7 +163,7 @@
   out.push_back(PauseCall{this->attempt, true});
 }
 
-void Stream::Handle(Instant now, StreamCallAlive& message, StreamActions&) {
+void Stream::Handle(Instant now, StreamCallActivity& message, StreamActions&) {
   if (this->IsCurrentCall(message.attempt)) {
     this->last_sign = now;
   }
@@ -180,7 +180,7 @@
     this->LoseGeneration(end, false, out);
     return;
   }
-  if (end == StreamCallEnd::kGone) {
+  if (end == StreamCallEnd::kUnknownGeneration) {
     this->LoseGeneration(end, true, out);
     return;
   }
@@ -241,7 +241,8 @@
       RequestNewWorker{this->excluded, this->standing, cause, reached_worker});
 }
 
-void Stream::Handle(Instant now, StreamDrained& message, StreamActions& out) {
+void Stream::Handle(Instant now, StreamBufferDrained& message,
+                    StreamActions& out) {
   this->buffered = message.buffered;
   if (!this->paused || this->buffered > this->options.low_buffer_bytes) {
     return;
@@ -270,7 +271,7 @@
   this->current_phase = StreamPhase::kEnded;
 }
 
-void Stream::Handle(Instant, StreamGiveUp& message, StreamActions& out) {
+void Stream::Handle(Instant, StreamAbort& message, StreamActions& out) {
   if (this->current_phase == StreamPhase::kEnded) {
     return;
   }
@@ -289,7 +290,7 @@
 }
 
 void Stream::End(Problem problem, StreamActions& out) {
-  problem.outcome = this->OutcomeSoFar();
+  problem.outcome = this->CurrentOutcome();
   this->current_phase = StreamPhase::kEnded;
   out.push_back(EndIncomplete{this->standing_generation, this->standing,
                               std::move(problem)});
--- a/src/streams/tests/sse_test.cc
+++ b/src/streams/tests/sse_test.cc
@@ -24,7 +24,7 @@
     CHECK((*events)[1].data == "c");
     CHECK((*events)[2].id == "2");
     CHECK((*events)[2].data.empty());
-    CHECK(decoder.Comments() == 2);
+    CHECK(decoder.CommentCount() == 2);
   }
 }
 
@@ -47,7 +47,7 @@
   CHECK(events->front().id == "i1");
   CHECK(events->front().event == "e2");
   CHECK(events->front().data == "a\nb\nc\nd");
-  CHECK(decoder.Comments() == 1);
+  CHECK(decoder.CommentCount() == 1);
 }
 
 TEST_CASE("engine frame, encoded and read, is the same") {
--- a/src/streams/tests/stream_test.cc
+++ b/src/streams/tests/stream_test.cc
@@ -128,7 +128,7 @@
   const Problem problem{ErrorCode::kRoutingNoUpstream, Outcome::kNotRun, "",
                         std::nullopt};
   const auto outcome = [&] {
-    return Find<EndIncomplete>(this->Step(StreamGiveUp{problem}))
+    return Find<EndIncomplete>(this->Step(StreamAbort{problem}))
         ->problem.outcome;
   };
   SECTION("before any call") { CHECK(outcome() == Outcome::kNotRun); }
@@ -144,7 +144,7 @@
   }
   SECTION("cut, then gone, then not connected elsewhere") {
     this->Step(StreamCallEnded{1, StreamCallEnd::kCut});
-    this->Step(StreamCallEnded{2, StreamCallEnd::kGone});
+    this->Step(StreamCallEnded{2, StreamCallEnd::kUnknownGeneration});
     this->Step(StreamBegin{{"g2"}, {"w2"}});
     this->Step(StreamCallEnded{3, StreamCallEnd::kNotConnected});
     CHECK(outcome() == Outcome::kUnknown);
@@ -158,15 +158,15 @@
   this->BeginWithTokens(2);
   REQUIRE(Find<PauseCall>(this->Token(1, 2)) != nullptr);
   CHECK(this->stream.NextWakeup() == kNever);
-  CHECK(this->Step(StreamDrained{101}).empty());
+  CHECK(this->Step(StreamBufferDrained{101}).empty());
   SECTION("drained, goes on") {
-    const StreamActions actions = this->Step(StreamDrained{100});
+    const StreamActions actions = this->Step(StreamBufferDrained{100});
     REQUIRE(Find<PauseCall>(actions) != nullptr);
     CHECK_FALSE(Find<PauseCall>(actions)->paused);
   }
   SECTION("cut while paused, resumes only when drained") {
     CHECK(this->Step(StreamCallEnded{1, StreamCallEnd::kCut}).empty());
-    REQUIRE(Find<ResumeCall>(this->Step(StreamDrained{0})) != nullptr);
+    REQUIRE(Find<ResumeCall>(this->Step(StreamBufferDrained{0})) != nullptr);
   }
 }
 
@@ -183,7 +183,7 @@
 }
 
 TEST_CASE_METHOD(StreamFixture, "stream, taken up, goes on at the offset") {
-  const StreamActions actions = this->Step(StreamTakeUp{{"g1"}, {"w1"}, 7});
+  const StreamActions actions = this->Step(StreamResume{{"g1"}, {"w1"}, 7});
   REQUIRE(Find<ResumeCall>(actions) != nullptr);
   CHECK(Find<ResumeCall>(actions)->offset == 7);
   CHECK(this->Token(1, 6).empty());
--- a/src/streams/tests/stream_world.cc
+++ b/src/streams/tests/stream_world.cc
@@ -110,7 +110,7 @@
   } else if (const auto* pause = std::get_if<PauseCall>(&action)) {
     if (pause->paused) {
       this->At(this->now + this->Millis(1, 400),
-               [this, host] { this->Step(host, StreamDrained{0}); });
+               [this, host] { this->Step(host, StreamBufferDrained{0}); });
     }
   } else if (const auto* token = std::get_if<DeliverToken>(&action)) {
     this->Deliver(host, *token);
@@ -199,7 +199,7 @@
   if (start) {
     this->history.reached[id] = true;
   } else if (!this->history.reached[id] || this->cancelled[id]) {
-    this->EndCall(index, StreamCallEnd::kGone, soon);
+    this->EndCall(index, StreamCallEnd::kUnknownGeneration, soon);
     return;
   }
   this->At(this->now + soon,
@@ -308,8 +308,8 @@
   if (!first && this->Chance(this->options.no_worker)) {
     this->At(this->now + this->Millis(1, 50), [this, host] {
       this->Step(host,
-                 StreamGiveUp{{ErrorCode::kRoutingNoUpstream, Outcome::kNotRun,
-                               "no worker", std::nullopt}});
+                 StreamAbort{{ErrorCode::kRoutingNoUpstream, Outcome::kNotRun,
+                              "no worker", std::nullopt}});
     });
     return;
   }
@@ -357,7 +357,7 @@
       worker = call.generation == generation ? call.worker : worker;
     }
   }
-  this->Step(host, StreamTakeUp{generation, worker, this->history.held.size()});
+  this->Step(host, StreamResume{generation, worker, this->history.held.size()});
 }
 
 }  // namespace limpetlink
