--- a/src/entry/completion_flow.cc
+++ b/src/entry/completion_flow.cc
@@ -305,7 +305,7 @@
   Completion& completion = this->completions.at(notice.id);
   this->SendHead(completion);
   const std::string text =
-      absl::StrCat("waiting place=", notice.place,
+      absl::StrCat("waiting place=", notice.position,
                    " expected_wait_s=", ToSeconds(notice.expected_wait));
   this->shared.actions.emplace_back(
       ReplyBody{notice.id, EncodeSseComment(text)});
--- a/src/requests/detail/request_row.h
+++ b/src/requests/detail/request_row.h
@@ -31,10 +31,10 @@
 struct RequestRow {
   RequestId id;
   OrganisationId organisation;
-  std::string what;  ///< method, path and target, for a person
+  std::string summary;  ///< method, path and target, for a person
   RequestState state = RequestState::kReceived;
-  std::string reason;       ///< why it stands there, for a person
-  std::uint32_t place = 0;  ///< in its queue, 1 is next; 0: none
+  std::string reason;          ///< why it stands there, for a person
+  std::uint32_t position = 0;  ///< in its queue, 1 is next; 0: none
   Duration expected_wait{0};
   Instant since;        ///< when it was received
   Instant state_since;  ///< when it came into its state
--- a/src/requests/detail/request_table.h
+++ b/src/requests/detail/request_table.h
@@ -24,7 +24,7 @@
 struct NewRequest {
   RequestId id;
   OrganisationId organisation;
-  std::string what;
+  std::string summary;
   Instant deadline = kNever;
   std::string trace_id;
   bool streaming = false;
@@ -35,7 +35,7 @@
   kAdmitted,
   kDeadlinePast,  ///< answer request.108
   kNoDeadline,    ///< a request without a deadline is never taken in
-  kKnownId,       ///< the id is or was in the table
+  kDuplicateId,   ///< the id is or was in the table
 };
 
 /// @brief What is to be done with a final answer.
@@ -55,10 +55,10 @@
       {FinishResult::kNeverAdmitted, "never_admitted"}};
 };
 
-/// @brief A waiting stream's caller is due a comment with its place.
+/// @brief A waiting stream's caller is due a comment with its position.
 struct WaitNotice {
   RequestId id;
-  std::uint32_t place = 0;
+  std::uint32_t position = 0;
   Duration expected_wait{0};
   std::string reason;
 };
@@ -68,8 +68,8 @@
   std::uint64_t admitted = 0;
   std::uint64_t answered = 0;
   std::uint64_t expired = 0;
-  std::uint64_t second_answers = 0;  ///< refused by Finish
-  std::uint64_t unsent_answers = 0;  ///< their caller had left
+  std::uint64_t duplicate_responses = 0;  ///< refused by Finish
+  std::uint64_t unsent_responses = 0;     ///< their caller had left
 };
 
 /// @brief Every request from its arrival to its one final answer.
@@ -91,9 +91,9 @@
   AdmitResult Admit(Instant now, NewRequest request);
 
   /// @brief The request waits.
-  /// @param place 1 is next; 0: not known
+  /// @param position 1 is next; 0: not known
   /// @return false when the request is not in progress
-  bool SetWaiting(Instant now, RequestId id, std::uint32_t place,
+  bool SetWaiting(Instant now, RequestId id, std::uint32_t position,
                   Duration expected_wait, std::string reason);
   /// @brief The request's intent or outcome is being made durable.
   bool SetRecording(Instant now, RequestId id, std::string reason);
--- a/src/requests/request_row.cc
+++ b/src/requests/request_row.cc
@@ -9,10 +9,10 @@
   for (const RequestRow& row : rows) {
     list.push_back({{"id", row.id.value},
                     {"organisation", row.organisation.value},
-                    {"what", row.what},
+                    {"what", row.summary},
                     {"state", ToText(row.state)},
                     {"reason", row.reason},
-                    {"place", row.place},
+                    {"place", row.position},
                     {"expected_wait_s", ToSeconds(row.expected_wait)},
                     {"age_s", ToSeconds(now - row.since)},
                     {"in_state_s", ToSeconds(now - row.state_since)},
--- a/src/requests/request_table.cc
+++ b/src/requests/request_table.cc
@@ -14,7 +14,7 @@
     return AdmitResult::kDeadlinePast;
   }
   if (!(this->highest < request.id)) {
-    return AdmitResult::kKnownId;
+    return AdmitResult::kDuplicateId;
   }
   this->highest = request.id;
   ++this->counts.admitted;
@@ -22,7 +22,7 @@
   RequestRow row;
   row.id = request.id;
   row.organisation = std::move(request.organisation);
-  row.what = std::move(request.what);
+  row.summary = std::move(request.summary);
   row.since = now;
   row.state_since = now;
   row.deadline = request.deadline;
@@ -46,7 +46,7 @@
   row.state = state;
   row.reason = std::move(reason);
   if (state != RequestState::kWaiting) {
-    row.place = 0;
+    row.position = 0;
     row.expected_wait = Duration(0);
     this->SetNotice(found->second, kNever);
   }
@@ -63,13 +63,13 @@
   }
 }
 
-bool RequestTable::SetWaiting(Instant now, RequestId id, std::uint32_t place,
+bool RequestTable::SetWaiting(Instant now, RequestId id, std::uint32_t position,
                               Duration expected_wait, std::string reason) {
   Entry* entry = this->Move(now, id, RequestState::kWaiting, std::move(reason));
   if (entry == nullptr) {
     return false;
   }
-  entry->row.place = place;
+  entry->row.position = position;
   entry->row.expected_wait = expected_wait;
   const bool wants_notices = entry->row.streaming && !entry->row.caller_left;
   if (wants_notices && entry->next_notice == kNever) {
@@ -104,7 +104,7 @@
     if (this->highest < id || id == RequestId{}) {
       return FinishResult::kNeverAdmitted;
     }
-    ++this->counts.second_answers;
+    ++this->counts.duplicate_responses;
     return FinishResult::kAlreadyAnswered;
   }
   const bool caller_left = found->second.row.caller_left;
@@ -112,7 +112,7 @@
   this->deadlines.erase({found->second.row.deadline, id});
   this->entries.erase(found);
   if (caller_left) {
-    ++this->counts.unsent_answers;
+    ++this->counts.unsent_responses;
     return FinishResult::kCallerLeft;
   }
   ++this->counts.answered;
@@ -136,7 +136,7 @@
   while (!this->notices.empty() && this->notices.begin()->first <= now) {
     Entry& entry = this->entries.at(this->notices.begin()->second);
     const RequestRow& row = entry.row;
-    due.push_back({row.id, row.place, row.expected_wait, row.reason});
+    due.push_back({row.id, row.position, row.expected_wait, row.reason});
     this->SetNotice(entry, now + this->options.notice_interval);
   }
   return due;
--- a/src/requests/tests/request_table_test.cc
+++ b/src/requests/tests/request_table_test.cc
@@ -30,7 +30,7 @@
   CHECK(this->table.Finish({1}) == FinishResult::kSend);
   CHECK(this->table.Finish({1}) == FinishResult::kAlreadyAnswered);
   CHECK(this->table.Finish({2}) == FinishResult::kNeverAdmitted);
-  CHECK(this->table.Counts().second_answers == 1);
+  CHECK(this->table.Counts().duplicate_responses == 1);
   CHECK(this->table.NextWakeup() == kNever);
 }
 
@@ -43,7 +43,7 @@
   this->Admit(3, seconds(1));
   CHECK(this->table.Admit(
             this->now, {{3}, {"o"}, "", this->now + seconds(1), "", false}) ==
-        AdmitResult::kKnownId);
+        AdmitResult::kDuplicateId);
 }
 
 TEST_CASE_METHOD(TableFixture, "deadlines, reached, are told once in order") {
@@ -61,20 +61,20 @@
 }
 
 TEST_CASE_METHOD(TableFixture,
-                 "waiting stream, gets its place at once and on") {
+                 "waiting stream, gets its position at once and on") {
   this->Admit(1, seconds(60), true);
   this->Admit(2, seconds(60), false);
   this->table.SetWaiting(this->now, {1}, 4, seconds(9), "queue");
   this->table.SetWaiting(this->now, {2}, 5, seconds(9), "queue");
   auto due = this->table.DueNotices(this->now);
   REQUIRE(due.size() == 1);
-  CHECK(due[0].place == 4);
+  CHECK(due[0].position == 4);
   CHECK(this->table.DueNotices(this->now).empty());
   this->now += seconds(5);
   this->table.SetWaiting(this->now, {1}, 2, seconds(4), "queue");
   due = this->table.DueNotices(this->now);
   REQUIRE(due.size() == 1);
-  CHECK(due[0].place == 2);
+  CHECK(due[0].position == 2);
   SECTION("running, no more comments") {
     this->table.SetRunning(this->now, {1}, "w1");
   }
