--- a/src/requests/detail/request_row.h
+++ b/src/requests/detail/request_row.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What is known of a request in progress.
+/// @brief Description of a request in progress, and its JSON form.
 #pragma once
 
 #include <cstdint>
@@ -10,12 +10,12 @@
 
 namespace limpetlink {
 
-/// @brief Where a request stands.
+/// @brief State of a request in progress.
 enum class RequestState {
-  kReceived,   ///< taken in, nothing decided yet
-  kWaiting,    ///< waits for a worker or a share
-  kRecording,  ///< its intent or outcome is being made durable
-  kRunning,    ///< at an upstream
+  kReceived,   ///< admitted to the table, not yet processed
+  kWaiting,    ///< waiting for a worker or for a share of a limit
+  kRecording,  ///< its intent or outcome is being persisted
+  kRunning,    ///< running at an upstream
 };
 
 template <>
@@ -31,25 +31,25 @@
 struct RequestRow {
   RequestId id;
   OrganisationId organisation;
-  std::string summary;  ///< method, path and target, for a person
+  std::string summary;  ///< method, path and target, for display
   RequestState state = RequestState::kReceived;
-  std::string reason;          ///< why it stands there, for a person
-  std::uint32_t position = 0;  ///< in its queue, 1 is next; 0: none
+  std::string reason;          ///< reason for the state, for display
+  std::uint32_t position = 0;  ///< in its queue, from 1; 0: none
   Duration expected_wait{0};
-  Instant since;        ///< when it was received
-  Instant state_since;  ///< when it came into its state
+  Instant since;        ///< time of arrival
+  Instant state_since;  ///< time of the last change of state
   Instant deadline;
   std::string trace_id;
-  bool streaming = false;    ///< its caller takes comments while it waits
-  bool caller_left = false;  ///< works on without a caller
-  bool overdue = false;      ///< told as expired, not answered yet
+  bool streaming = false;    ///< its caller receives comments while it waits
+  bool caller_left = false;  ///< the work continues without a caller
+  bool overdue = false;      ///< reported as expired, no response yet
 };
 
-/// @brief Renders rows as the body of /v1/requests.
-/// @param rows in the order wanted
-/// @param now ages and remaining times are given relative to it, in seconds
+/// @brief Encodes rows as the response body of /v1/requests.
+/// @param rows the rows, in output order
+/// @param now the time to which ages and remaining times, in seconds, refer
 /// @return a JSON object {"requests": [...]}
-/// @note Complexity: linear.
+/// @note Complexity: linear in the rows.
 std::string ToRequestsJson(const std::vector<RequestRow>& rows, Instant now);
 
 }  // namespace limpetlink
--- a/src/requests/detail/request_table.h
+++ b/src/requests/detail/request_table.h
@@ -15,12 +15,13 @@
 
 namespace limpetlink {
 
-/// @brief How a request table behaves.
+/// @brief Options of a request table.
 struct RequestTableOptions {
-  Duration notice_interval{std::chrono::seconds(5)};  ///< of waiting streams
+  /// Interval between comments to the caller of a waiting stream.
+  Duration notice_interval{std::chrono::seconds(5)};
 };
 
-/// @brief A request as it arrives.
+/// @brief A request to be admitted.
 struct NewRequest {
   RequestId id;
   OrganisationId organisation;
@@ -30,20 +31,20 @@
   bool streaming = false;
 };
 
-/// @brief What became of an admission to the table.
+/// @brief Result of RequestTable::Admit.
 enum class AdmitResult {
   kAdmitted,
-  kDeadlinePast,  ///< answer request.108
-  kNoDeadline,    ///< a request without a deadline is never taken in
+  kDeadlinePast,  ///< respond with request.108
+  kNoDeadline,    ///< every request needs a deadline
   kDuplicateId,   ///< the id is or was in the table
 };
 
-/// @brief What is to be done with a final answer.
+/// @brief Result of RequestTable::Finish: whether to send the response.
 enum class FinishResult {
-  kSend,             ///< the first and only: send it
-  kCallerLeft,       ///< nobody is there: do not send
-  kAlreadyAnswered,  ///< a second one: do not send
-  kNeverAdmitted,    ///< no such request: do not send
+  kSend,             ///< first final response: send it
+  kCallerLeft,       ///< the caller disconnected: do not send
+  kAlreadyAnswered,  ///< duplicate response: do not send
+  kNeverAdmitted,    ///< unknown request: do not send
 };
 
 template <>
@@ -55,7 +56,8 @@
       {FinishResult::kNeverAdmitted, "never_admitted"}};
 };
 
-/// @brief A waiting stream's caller is due a comment with its position.
+/// @brief Queue position to be sent, as a comment, to the caller of a waiting
+/// stream.
 struct WaitNotice {
   RequestId id;
   std::uint32_t position = 0;
@@ -63,75 +65,85 @@
   std::string reason;
 };
 
-/// @brief What the table has seen.
+/// @brief Counters of a request table.
 struct RequestCounts {
   std::uint64_t admitted = 0;
   std::uint64_t answered = 0;
   std::uint64_t expired = 0;
   std::uint64_t duplicate_responses = 0;  ///< refused by Finish
-  std::uint64_t unsent_responses = 0;     ///< their caller had left
+  std::uint64_t unsent_responses = 0;     ///< their callers had left
 };
 
-/// @brief Every request from its arrival to its one final answer.
-/// @note Ids grow: an id at or below the highest admitted that is not in the
-/// table was answered.
+/// @brief Tracks each request from its arrival to its single final response.
+/// @note Ids must increase: an id that is not in the table, but at most the
+/// highest admitted id, belongs to a request that was answered.
 /// @note Example:
 /// @code
 /// table.Admit(now, {id, organisation, "POST /v1/completions", deadline});
 /// table.SetWaiting(now, id, 3, expected, "queue of tasting-model");
-/// for (RequestId late : table.Expire(now)) { answer 504 if Finish says kSend }
+/// for (RequestId id : table.Expire(now)) {
+///   if (table.Finish(id) == FinishResult::kSend) { ... }  // respond with 504
+/// }
 /// @endcode
 class RequestTable {
  public:
-  /// @param options notice interval
+  /// @param options interval of the comments
   explicit RequestTable(RequestTableOptions options = {});
 
-  /// @brief Takes a request in. Logarithmic in the requests in progress, as is
-  /// every operation below unless said otherwise.
+  /// @brief Adds a request to the table.
+  /// @note Complexity: logarithmic in the requests in progress, like all other
+  /// operations unless noted otherwise.
   AdmitResult Admit(Instant now, NewRequest request);
 
-  /// @brief The request waits.
-  /// @param position 1 is next; 0: not known
-  /// @return false when the request is not in progress
+  /// @brief Marks a request as waiting.
+  /// @param position position in its queue, from 1; 0 if unknown
+  /// @return false if the request is not in progress
   bool SetWaiting(Instant now, RequestId id, std::uint32_t position,
                   Duration expected_wait, std::string reason);
-  /// @brief The request's intent or outcome is being made durable.
+  /// @brief Marks a request whose intent or outcome is being persisted.
+  /// @return false if the request is not in progress
   bool SetRecording(Instant now, RequestId id, std::string reason);
-  /// @brief The request is at an upstream.
-  /// @param where the upstream, for a person
-  bool SetRunning(Instant now, RequestId id, std::string where);
-
-  /// @brief The caller left while work goes on; call Finish when it ends.
+  /// @brief Marks a request as running at an upstream.
+  /// @param upstream name of the upstream, for display
+  /// @return false if the request is not in progress
+  bool SetRunning(Instant now, RequestId id, std::string upstream);
+
+  /// @brief Marks a request whose caller left while the work continues. Call
+  /// Finish when the work ends.
+  /// @return false if the request is not in progress
   bool SetCallerLeft(RequestId id);
 
-  /// @brief Asks whether the final answer may be sent; the request leaves the
-  /// table.
+  /// @brief Removes a request from the table.
+  /// @return whether its final response may be sent
   FinishResult Finish(RequestId id);
 
-  /// @brief Names the requests whose deadline is reached, each once.
-  /// @return ids in the order of their deadlines; they stay in the table, as
-  /// overdue, until Finish
+  /// @brief Returns the requests whose deadline is reached, each one once.
+  /// @return ids in the order of their deadlines; the requests remain in the
+  /// table, marked as overdue, until Finish
   std::vector<RequestId> Expire(Instant now);
 
-  /// @brief Names the waiting streams that are due a comment.
+  /// @brief Returns the comments that are due to callers of waiting streams,
+  /// and schedules the next ones.
   std::vector<WaitNotice> DueNotices(Instant now);
 
-  /// @return when Expire or DueNotices has something to say; constant time
+  /// @return time at which Expire or DueNotices next has a result; constant
+  /// time
   Instant NextWakeup() const;
-  /// @return the earliest deadline not yet told; constant time
+  /// @return the earliest deadline that Expire has not reported; constant time
   Instant NextDeadline() const;
 
   /// @brief Lists requests, oldest first.
-  /// @param organisation only its own; nothing: all, for an operator
+  /// @param organisation lists only its requests; nullopt lists all, for an
+  /// operator
   /// @note Complexity: linear in the requests in progress.
   std::vector<RequestRow> List(
       const std::optional<OrganisationId>& organisation) const;
 
-  /// @return the row, or nullptr when not in progress
+  /// @return the row, or nullptr if the request is not in progress
   const RequestRow* Find(RequestId id) const;
-  /// @return requests in progress
+  /// @return the number of requests in progress
   std::size_t Size() const { return this->entries.size(); }
-  /// @return what was seen so far
+  /// @return the counters so far
   const RequestCounts& Counts() const { return this->counts; }
 
  private:
@@ -141,15 +153,15 @@
   };
   using Timer = std::pair<Instant, RequestId>;
 
-  Entry* Move(Instant now, RequestId id, RequestState state,
-              std::string reason);
-  void SetNotice(Entry& entry, Instant at);
+  Entry* SetState(Instant now, RequestId id, RequestState state,
+                  std::string reason);
+  void ScheduleNotice(Entry& entry, Instant at);
 
   RequestTableOptions options;
   std::map<RequestId, Entry> entries;
   std::set<Timer> deadlines;
   std::set<Timer> notices;
-  RequestId highest;
+  RequestId highest_id;
   RequestCounts counts;
 };
 
--- a/src/requests/detail/wait_preference.h
+++ b/src/requests/detail/wait_preference.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The caller's longest wait, from the Prefer header (RFC 7240).
+/// @brief Maximum wait requested by a caller in the Prefer header (RFC 7240).
 #pragma once
 
 #include <optional>
@@ -9,9 +9,9 @@
 
 namespace limpetlink {
 
-/// @brief Reads `wait=SECONDS` out of a Prefer header.
-/// @param prefer the header's value, with any other preferences beside it
-/// @return the wait; nothing when there is none or it is malformed
+/// @brief Parses `wait=SECONDS` from a Prefer header.
+/// @param prefer value of the header; may contain other preferences
+/// @return the wait; nullopt if it is missing, malformed or over 1e6 s
 /// @note Example: `ParseWaitPreference("respond-async, wait=30")` is 30 s.
 std::optional<Duration> ParseWaitPreference(std::string_view prefer);
 
--- a/src/requests/request_table.cc
+++ b/src/requests/request_table.cc
@@ -13,10 +13,10 @@
   if (request.deadline <= now) {
     return AdmitResult::kDeadlinePast;
   }
-  if (!(this->highest < request.id)) {
+  if (!(this->highest_id < request.id)) {
     return AdmitResult::kDuplicateId;
   }
-  this->highest = request.id;
+  this->highest_id = request.id;
   ++this->counts.admitted;
   this->deadlines.insert({request.deadline, request.id});
   RequestRow row;
@@ -28,13 +28,13 @@
   row.deadline = request.deadline;
   row.trace_id = std::move(request.trace_id);
   row.streaming = request.streaming;
-  this->entries.emplace(this->highest, Entry{std::move(row), kNever});
+  this->entries.emplace(this->highest_id, Entry{std::move(row), kNever});
   return AdmitResult::kAdmitted;
 }
 
-RequestTable::Entry* RequestTable::Move(Instant now, RequestId id,
-                                        RequestState state,
-                                        std::string reason) {
+RequestTable::Entry* RequestTable::SetState(Instant now, RequestId id,
+                                            RequestState state,
+                                            std::string reason) {
   const auto found = this->entries.find(id);
   if (found == this->entries.end()) {
     return nullptr;
@@ -48,12 +48,12 @@
   if (state != RequestState::kWaiting) {
     row.position = 0;
     row.expected_wait = Duration(0);
-    this->SetNotice(found->second, kNever);
+    this->ScheduleNotice(found->second, kNever);
   }
   return &found->second;
 }
 
-void RequestTable::SetNotice(Entry& entry, Instant at) {
+void RequestTable::ScheduleNotice(Entry& entry, Instant at) {
   if (entry.next_notice != kNever) {
     this->notices.erase({entry.next_notice, entry.row.id});
   }
@@ -65,26 +65,27 @@
 
 bool RequestTable::SetWaiting(Instant now, RequestId id, std::uint32_t position,
                               Duration expected_wait, std::string reason) {
-  Entry* entry = this->Move(now, id, RequestState::kWaiting, std::move(reason));
+  Entry* entry =
+      this->SetState(now, id, RequestState::kWaiting, std::move(reason));
   if (entry == nullptr) {
     return false;
   }
   entry->row.position = position;
   entry->row.expected_wait = expected_wait;
-  const bool wants_notices = entry->row.streaming && !entry->row.caller_left;
-  if (wants_notices && entry->next_notice == kNever) {
-    this->SetNotice(*entry, now);  // the first comment goes out at once
+  const bool sends_notices = entry->row.streaming && !entry->row.caller_left;
+  if (sends_notices && entry->next_notice == kNever) {
+    this->ScheduleNotice(*entry, now);  // the first comment is due immediately
   }
   return true;
 }
 
 bool RequestTable::SetRecording(Instant now, RequestId id, std::string reason) {
-  return this->Move(now, id, RequestState::kRecording, std::move(reason)) !=
+  return this->SetState(now, id, RequestState::kRecording, std::move(reason)) !=
          nullptr;
 }
 
-bool RequestTable::SetRunning(Instant now, RequestId id, std::string where) {
-  return this->Move(now, id, RequestState::kRunning, std::move(where)) !=
+bool RequestTable::SetRunning(Instant now, RequestId id, std::string upstream) {
+  return this->SetState(now, id, RequestState::kRunning, std::move(upstream)) !=
          nullptr;
 }
 
@@ -94,21 +95,21 @@
     return false;
   }
   found->second.row.caller_left = true;
-  this->SetNotice(found->second, kNever);
+  this->ScheduleNotice(found->second, kNever);
   return true;
 }
 
 FinishResult RequestTable::Finish(RequestId id) {
   const auto found = this->entries.find(id);
   if (found == this->entries.end()) {
-    if (this->highest < id || id == RequestId{}) {
+    if (this->highest_id < id || id == RequestId{}) {
       return FinishResult::kNeverAdmitted;
     }
     ++this->counts.duplicate_responses;
     return FinishResult::kAlreadyAnswered;
   }
   const bool caller_left = found->second.row.caller_left;
-  this->SetNotice(found->second, kNever);
+  this->ScheduleNotice(found->second, kNever);
   this->deadlines.erase({found->second.row.deadline, id});
   this->entries.erase(found);
   if (caller_left) {
@@ -137,7 +138,7 @@
     Entry& entry = this->entries.at(this->notices.begin()->second);
     const RequestRow& row = entry.row;
     due.push_back({row.id, row.position, row.expected_wait, row.reason});
-    this->SetNotice(entry, now + this->options.notice_interval);
+    this->ScheduleNotice(entry, now + this->options.notice_interval);
   }
   return due;
 }
--- a/src/requests/requests.h
+++ b/src/requests/requests.h
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Every request in progress: visible, with a deadline, answered once.
+/// @brief Tracks the requests in progress: their states, deadlines and single
+/// final responses.
 #pragma once
 
 #include "requests/detail/request_row.h"
--- a/src/requests/tests/request_table_test.cc
+++ b/src/requests/tests/request_table_test.cc
@@ -25,7 +25,8 @@
   }
 };
 
-TEST_CASE_METHOD(TableFixture, "request, second final answer, is never sent") {
+TEST_CASE_METHOD(TableFixture,
+                 "request, second final response, is never sent") {
   this->Admit(1, seconds(10));
   CHECK(this->table.Finish({1}) == FinishResult::kSend);
   CHECK(this->table.Finish({1}) == FinishResult::kAlreadyAnswered);
@@ -35,7 +36,7 @@
 }
 
 TEST_CASE_METHOD(TableFixture,
-                 "request, without a deadline ahead, is refused") {
+                 "request, no deadline or a past one, is rejected") {
   CHECK(this->table.Admit(this->now, {{1}, {"o"}, "", kNever, "", false}) ==
         AdmitResult::kNoDeadline);
   CHECK(this->table.Admit(this->now, {{1}, {"o"}, "", this->now, "", false}) ==
@@ -46,7 +47,8 @@
         AdmitResult::kDuplicateId);
 }
 
-TEST_CASE_METHOD(TableFixture, "deadlines, reached, are told once in order") {
+TEST_CASE_METHOD(TableFixture,
+                 "deadlines, reached, are reported once in order") {
   this->Admit(1, seconds(10));
   this->Admit(2, seconds(5));
   this->Admit(3, seconds(20));
@@ -60,8 +62,9 @@
   CHECK(this->table.NextDeadline() == this->now + seconds(10));
 }
 
-TEST_CASE_METHOD(TableFixture,
-                 "waiting stream, gets its position at once and on") {
+TEST_CASE_METHOD(
+    TableFixture,
+    "waiting stream, gets its position immediately and periodically") {
   this->Admit(1, seconds(60), true);
   this->Admit(2, seconds(60), false);
   this->table.SetWaiting(this->now, {1}, 4, seconds(9), "queue");
@@ -78,7 +81,7 @@
   SECTION("running, no more comments") {
     this->table.SetRunning(this->now, {1}, "w1");
   }
-  SECTION("caller left, no more comments and no answer") {
+  SECTION("caller left, no more comments") {
     CHECK(this->table.SetCallerLeft({1}));
     this->table.SetWaiting(this->now, {1}, 1, seconds(4), "queue");
   }
@@ -86,7 +89,8 @@
   CHECK(this->table.DueNotices(this->now).empty());
 }
 
-TEST_CASE_METHOD(TableFixture, "list, organisation, sees only its own") {
+TEST_CASE_METHOD(TableFixture,
+                 "list, one organisation, contains only its requests") {
   this->Admit(1, seconds(60), true, "swan");
   this->Admit(2, seconds(60), true, "syrtos");
   this->table.SetWaiting(this->now, {2}, 3, seconds(4), "queue of choros");
@@ -103,7 +107,7 @@
   CHECK(row["reason"] == "queue of choros");
 }
 
-TEST_CASE("wait preference, as in RFC 7240, gives the wait") {
+TEST_CASE("wait preference, RFC 7240 syntax, is parsed") {
   CHECK(ParseWaitPreference("wait=30") == seconds(30));
   CHECK(ParseWaitPreference("respond-async, Wait = 0.5 ; x") ==
         std::chrono::milliseconds(500));
@@ -113,7 +117,7 @@
   CHECK_FALSE(ParseWaitPreference("wait=soon"));
 }
 
-TEST_CASE("request table, random use, answers each once and none late") {
+TEST_CASE("request table, random use, responds once and in time") {
   for (std::uint64_t seed = 1; seed <= 2000; ++seed) {
     Random random(seed);
     RequestTable table;
