--- a/src/streams/detail/engine_frame.h
+++ b/src/streams/detail/engine_frame.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One frame of an engine's answer: a token or the finish.
+/// @brief Frames of an engine's response stream: a token or the finish.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +12,10 @@
 
 namespace limpetlink {
 
-/// @brief Why an engine ended a generation.
+/// @brief Reason why an engine finished a generation.
 enum class FinishReason {
-  kStop,    ///< the model ended its answer
-  kLength,  ///< the bound on output tokens was reached
+  kStop,    ///< the model ended its output
+  kLength,  ///< the limit on output tokens was reached
 };
 
 template <>
@@ -24,25 +24,28 @@
       {FinishReason::kStop, "stop"}, {FinishReason::kLength, "length"}};
 };
 
-/// @brief A token at an offset of a generation, or the generation's finish.
+/// @brief A token at an offset of a generation, or the end of the generation.
 struct EngineFrame {
   GenerationId generation;
-  std::uint64_t offset = 0;  ///< the token's index; of a finish, the number of
-                             ///< tokens of the generation
-  std::string text;          ///< the token's text; empty on a finish
+  /// Index of the token; in a finish frame, the number of tokens generated.
+  std::uint64_t offset = 0;
+  std::string text;  ///< text of the token; empty in a finish frame
   std::optional<FinishReason> finish;
 };
 
-/// @brief Reads an engine's event.
-/// @param event id "<generation>:<offset>" or empty, and JSON data with
-/// generation, offset, and either text or finish_reason
-/// @return the frame, or an error with upstream.104
-/// @note Example: `ParseEngineFrame({"g:0", "",
-/// R"({"generation":"g","offset":0,"text":"a"})"})`
+/// @brief Parses an event sent by an engine.
+/// @param event its id is "<generation>:<offset>" or empty; its data is a JSON
+/// object with generation, offset, and either text or finish_reason
+/// @return the frame, or error upstream.104 if the event is malformed
+/// @note Example:
+/// @code
+/// ParseEngineFrame(
+///     {"g:0", "", R"({"generation":"g","offset":0,"text":"a"})"});
+/// @endcode
 absl::StatusOr<EngineFrame> ParseEngineFrame(const SseEvent& event);
 
-/// @brief Renders a frame as an engine does; used by stand-ins and tests.
-/// @return the event that ParseEngineFrame reads back to the same frame
+/// @brief Encodes a frame as an engine does; used by fake engines and tests.
+/// @return an event that ParseEngineFrame parses to the same frame
 SseEvent EncodeEngineFrame(const EngineFrame& frame);
 
 }  // namespace limpetlink
--- a/src/streams/detail/messages.h
+++ b/src/streams/detail/messages.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What a stream is told and what it decides.
+/// @brief Input messages and output actions of a stream.
 #pragma once
 
 #include <cstddef>
@@ -13,45 +13,46 @@
 
 namespace limpetlink {
 
-/// @brief Number of a call within one stream; each StartCall and ResumeCall has
-/// the next one.
+/// @brief Sequence number of a call within one stream; each StartCall and
+/// ResumeCall increments it.
 using StreamAttempt = std::uint32_t;
 
-// ---- What a stream is told ----
+// ---- Input messages ----
 
-/// @brief A worker was found: run this new generation there from offset 0.
+/// @brief A worker was assigned: start a new generation there at offset 0.
 struct StreamBegin {
-  GenerationId generation;  ///< unique for all time
+  GenerationId generation;  ///< globally unique, never reused
   UpstreamId worker;
 };
 
-/// @brief Another host served this generation before: go on at an offset.
+/// @brief Continue a generation that another host served before.
 struct StreamResume {
   GenerationId generation;
   UpstreamId worker;
-  std::uint64_t offset = 0;  ///< tokens that the caller has
+  std::uint64_t offset = 0;  ///< tokens that the caller already received
 };
 
-/// @brief A frame arrived on a call.
+/// @brief A call received a frame.
 struct StreamFrame {
   StreamAttempt attempt = 0;
   EngineFrame frame;
 };
 
-/// @brief The head of an answer or a comment arrived: the engine is alive.
+/// @brief A call received a response head or a comment, which shows that the
+/// engine is alive.
 struct StreamCallActivity {
   StreamAttempt attempt = 0;
 };
 
-/// @brief How a call to an engine ended.
+/// @brief Result of a call to an engine.
 enum class StreamCallEnd {
-  kComplete,           ///< the answer's body ended
-  kCut,                ///< the connection broke after bytes may have been sent
-  kTimeout,            ///< the call's own time limit passed
-  kNotConnected,       ///< no byte of the request left the host
-  kRefused,            ///< the engine said it did not run it
+  kComplete,           ///< the response body ended
+  kCut,                ///< the connection broke; bytes may have been sent
+  kTimeout,            ///< the time limit of the call expired
+  kNotConnected,       ///< no byte of the request was sent
+  kRefused,            ///< the engine reported that it did not run it
   kUnknownGeneration,  ///< the engine does not know the generation
-  kMalformed,          ///< the answer could not be read
+  kMalformed,          ///< the response could not be parsed
 };
 
 template <>
@@ -72,43 +73,44 @@
   StreamCallEnd end = StreamCallEnd::kComplete;
 };
 
-/// @brief The caller took bytes.
+/// @brief The caller read bytes from its buffer.
 struct StreamBufferDrained {
-  std::size_t buffered = 0;  ///< bytes still waiting for the caller
+  std::size_t buffered = 0;  ///< bytes that remain in the buffer
 };
 
-/// @brief The caller left.
+/// @brief The caller disconnected.
 struct StreamCallerLeft {
-  /// False when this host was frozen: another host may serve the generation by
-  /// now, so that cancelling it would cut a caller off.
+  /// Whether to cancel the generation. False if this host was frozen: another
+  /// host may serve the generation by now, and cancelling it would cut off that
+  /// host's caller.
   bool cancel = true;
 };
 
-/// @brief End the stream now: deadline, no worker to be had, or shutdown by
-/// force.
+/// @brief End the stream now: deadline reached, no worker available, or forced
+/// shutdown.
 struct StreamAbort {
-  Problem problem;  ///< its outcome is corrected by what the stream knows
+  Problem problem;  ///< the stream replaces its outcome with CurrentOutcome()
 };
 
-/// @brief Only time has passed.
+/// @brief Timer event; carries no other information.
 struct StreamTick {};
 
-/// @brief What a stream may be told.
+/// @brief Any input message of a stream.
 using StreamMessage =
     std::variant<StreamBegin, StreamResume, StreamFrame, StreamCallActivity,
                  StreamCallEnded, StreamBufferDrained, StreamCallerLeft,
                  StreamAbort, StreamTick>;
 
-// ---- What a stream decides ----
+// ---- Output actions ----
 
-/// @brief Send the generation's request to the worker.
+/// @brief Send the request for a new generation to the worker.
 struct StartCall {
   StreamAttempt attempt = 0;
   GenerationId generation;
   UpstreamId worker;
 };
 
-/// @brief Ask the worker for the same generation from an offset on.
+/// @brief Request the rest of a generation from its worker.
 struct ResumeCall {
   StreamAttempt attempt = 0;
   GenerationId generation;
@@ -116,69 +118,69 @@
   std::uint64_t offset = 0;
 };
 
-/// @brief Close a call; events of it are ignored from now on.
+/// @brief Close a call; the stream ignores all further events of it.
 struct AbandonCall {
   StreamAttempt attempt = 0;
 };
 
-/// @brief Stop or go on reading a call's answer (back-pressure).
+/// @brief Pause or resume reading the response of a call (back-pressure).
 struct PauseCall {
   StreamAttempt attempt = 0;
   bool paused = true;
 };
 
-/// @brief Give the caller the next token.
+/// @brief Send the next token to the caller.
 struct DeliverToken {
   GenerationId generation;
   std::uint64_t offset = 0;  ///< the token's index in its generation
   std::string text;
 };
 
-/// @brief The answer is whole; the last thing decided.
+/// @brief Finish the response, which is complete. Always the last action.
 struct FinishStream {
   GenerationId generation;
   std::uint64_t tokens = 0;
   FinishReason reason = FinishReason::kStop;
 };
 
-/// @brief The answer ends unfinished; the last thing decided. What was
-/// delivered stands.
+/// @brief End the response before it is complete. Always the last action.
+/// Tokens already delivered remain valid.
 struct EndIncomplete {
   GenerationId generation;
-  std::uint64_t tokens = 0;  ///< delivered and standing
+  std::uint64_t tokens = 0;  ///< tokens that the caller holds
   Problem problem;
 };
 
-/// @brief Tell the caller to drop what it has: a new generation starts at
-/// offset 0.
+/// @brief Notify the caller that a new generation starts at offset 0 and that
+/// it must discard the tokens received so far.
 struct RestartStream {
   GenerationId dropped;
   std::uint64_t dropped_tokens = 0;
   GenerationId generation;
 };
 
-/// @brief Find another worker; answered by StreamBegin or StreamAbort.
+/// @brief Find another worker. The reply is StreamBegin or StreamAbort.
 struct RequestNewWorker {
   std::vector<UpstreamId> excluded;  ///< workers that failed this stream
-  std::uint64_t delivered = 0;       ///< tokens that the caller holds; 0: the
-                                     ///< rerun is silent
+  /// Tokens that the caller holds; with 0 the caller does not notice the rerun.
+  std::uint64_t delivered = 0;
   StreamCallEnd cause = StreamCallEnd::kCut;
-  bool may_have_run = true;  ///< false: nothing reached the lost worker
+  bool may_have_run = true;  ///< false: the lost worker did not run the request
 };
 
-/// @brief Tell the worker to drop the generation; best effort.
+/// @brief Request that the worker cancels the generation; best effort.
 struct CancelGeneration {
   UpstreamId worker;
   GenerationId generation;
 };
 
-/// @brief What a stream may decide.
+/// @brief Any output action of a stream.
 using StreamAction =
     std::variant<StartCall, ResumeCall, AbandonCall, PauseCall, DeliverToken,
                  FinishStream, EndIncomplete, RestartStream, RequestNewWorker,
                  CancelGeneration>;
 
-/// @brief Decisions in the sequence in which they are to be carried out.
+/// @brief Actions in the order in which they must be executed.
 using StreamActions = std::vector<StreamAction>;
 
 }  // namespace limpetlink
--- a/src/streams/detail/sse.h
+++ b/src/streams/detail/sse.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Server-sent events: an incremental decoder with bounds, and an
-/// encoder.
+/// @brief Incremental decoder with size limits, and encoder, of server-sent
+/// events.
 #pragma once
 
 #include <cstddef>
@@ -16,18 +16,18 @@
 
 /// @brief One server-sent event.
 struct SseEvent {
-  std::string id;     ///< the last id seen, as the standard has it; or empty
-  std::string event;  ///< the event's name; empty stands for "message"
+  std::string id;     ///< last id received, as in the standard; may be empty
+  std::string event;  ///< event type; empty denotes "message"
   std::string data;   ///< lines joined by '\n'
 };
 
-/// @brief Bounds of what a decoder keeps.
+/// @brief Limits of the memory that a decoder uses.
 struct SseLimits {
   std::size_t max_line_bytes = 65536;
   std::size_t max_event_bytes = 262144;
 };
 
-/// @brief Turns bytes, cut anywhere, into events.
+/// @brief Decodes a byte stream, split at any position, into events.
 /// @note Example:
 /// @code
 /// SseDecoder decoder(SseLimits{});
@@ -35,22 +35,22 @@
 /// @endcode
 class SseDecoder {
  public:
-  /// @param limits longest line and event that are kept
+  /// @param limits maximum size of a line and of an event
   explicit SseDecoder(SseLimits limits = {});
 
-  /// @brief Takes the next bytes in.
-  /// @param bytes any part of the stream
-  /// @return the events that these bytes completed; an error with
-  /// upstream.104 once a line or an event passes its bound, and from then on
+  /// @brief Decodes the next bytes.
+  /// @param bytes the next part of the stream, of any size
+  /// @return the events that these bytes complete; error upstream.104 once a
+  /// line or an event exceeds its limit, and on every later call
   /// @note Complexity: linear in the bytes.
   absl::StatusOr<std::vector<SseEvent>> Feed(std::string_view bytes);
 
-  /// @return comment lines seen; they show that the sender is alive
+  /// @return comment lines received; they show that the sender is alive
   std::uint64_t CommentCount() const { return this->comment_count; }
 
  private:
-  absl::Status TakeLine(std::vector<SseEvent>& events);
-  absl::Status TakeField(std::string_view name, std::string_view value);
+  absl::Status ProcessLine(std::vector<SseEvent>& events);
+  absl::Status ProcessField(std::string_view name, std::string_view value);
   void Dispatch(std::vector<SseEvent>& events);
 
   SseLimits limits;
@@ -63,15 +63,16 @@
   absl::Status failure;
 };
 
-/// @brief Renders an event with its closing blank line.
-/// @param event line breaks in id and name are left out; data may hold any
-/// @return bytes for the wire
+/// @brief Encodes an event, including the terminating blank line.
+/// @param event line breaks in its id and type are removed; its data may
+/// contain line breaks
+/// @return the encoded bytes
 /// @note Example: `EncodeSse({"7", "", "a"})` gives "id: 7\ndata: a\n\n".
 std::string EncodeSse(const SseEvent& event);
 
-/// @brief Renders a comment, which callers ignore.
-/// @param text line breaks become blanks
-/// @return bytes for the wire
+/// @brief Encodes a comment, which callers ignore.
+/// @param text line breaks are replaced by spaces
+/// @return the encoded bytes
 std::string EncodeSseComment(std::string_view text);
 
 }  // namespace limpetlink
--- a/src/streams/detail/stream.h
+++ b/src/streams/detail/stream.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The state of one caller's stream.
+/// @brief State machine of one caller's token stream.
 #pragma once
 
 #include <cstddef>
@@ -12,31 +12,31 @@
 
 namespace limpetlink {
 
-/// @brief How a stream behaves.
+/// @brief Options of a stream.
 struct StreamOptions {
   OnLoss on_loss = OnLoss::kRestart;
-  /// Silence that counts as a stall before the first token.
+  /// Time without data before the first token that counts as a stall.
   Duration first_token_timeout{std::chrono::seconds(30)};
-  /// Bounds of the learnt silence that counts as a stall between tokens.
+  /// Limits of the adaptive stall timeout between tokens.
   Duration min_stall_timeout{std::chrono::seconds(2)};
   Duration max_stall_timeout{std::chrono::seconds(60)};
-  /// A stall is this many times the mean gap between tokens.
+  /// Stall timeout as a multiple of the mean gap between tokens.
   std::uint32_t stall_factor = 40;
-  /// Wait before the second resume without progress; doubles with each.
+  /// Delay before the second resume without progress; doubles with each one.
   Duration resume_backoff{std::chrono::milliseconds(100)};
-  std::uint32_t max_resumes = 5;          ///< in a row without a new token
-  std::uint32_t max_generations = 4;      ///< over the stream's life
-  std::size_t high_buffer_bytes = 65536;  ///< reading pauses above
-  std::size_t low_buffer_bytes = 16384;   ///< reading goes on at or below
+  std::uint32_t max_resumes = 5;          ///< consecutive, without a new token
+  std::uint32_t max_generations = 4;      ///< over the lifetime of the stream
+  std::size_t high_buffer_bytes = 65536;  ///< reading pauses above this size
+  std::size_t low_buffer_bytes = 16384;   ///< reading resumes at or below it
 };
 
-/// @brief What a stream dropped or met.
+/// @brief Counters of a stream.
 struct StreamCounts {
   std::uint64_t delivered = 0;
   std::uint64_t duplicates = 0;  ///< frames at an offset already delivered
   std::uint64_t gaps = 0;        ///< frames beyond the next offset
   std::uint64_t stale = 0;       ///< frames of another generation
-  std::uint64_t late = 0;        ///< events of a call already given up
+  std::uint64_t late = 0;        ///< events of a call that was abandoned
   std::uint64_t stalls = 0;
   std::uint64_t resumes = 0;
   std::uint64_t restarts = 0;
@@ -44,12 +44,12 @@
   std::uint64_t pauses = 0;
 };
 
-/// @brief Where a stream stands.
+/// @brief Phase of a stream.
 enum class StreamPhase {
   kWaitingForWorker,
   kCalling,  ///< a call is open
-  kBackoff,  ///< the next resume waits for its time or for the caller to drain
-  kEnded,    ///< nothing more is decided
+  kBackoff,  ///< waits to resume: for a delay, or for the caller to read
+  kEnded,    ///< final; returns no more actions
 };
 
 template <>
@@ -61,41 +61,42 @@
       {StreamPhase::kEnded, "ended"}};
 };
 
-/// @brief One caller's stream: each token once, in order, from one generation.
-/// @note A token is delivered only when its call, generation and offset are
-/// exactly those awaited; everything else is dropped and counted.
+/// @brief Delivers each token of one generation to a caller once and in order.
+/// @note A token is delivered only if its call, generation and offset are
+/// exactly those expected; all other frames are dropped and counted.
 /// @note Example:
 /// @code
 /// Stream stream(options);
-/// Carry(stream.Step(now, StreamBegin{generation, worker}));   // StartCall
-/// Carry(stream.Step(now, StreamFrame{attempt, frame}));       // DeliverToken
-/// Carry(stream.Step(now, StreamTick{}));          // at NextWakeup()
+/// Execute(stream.Step(now, StreamBegin{generation, worker}));  // StartCall
+/// Execute(stream.Step(now, StreamFrame{attempt, frame}));  // DeliverToken
+/// Execute(stream.Step(now, StreamTick{}));  // at NextWakeup()
 /// @endcode
 class Stream {
  public:
-  /// @param options bounds and the route's choice on loss
+  /// @param options timeouts, limits and the route's behaviour on loss
   explicit Stream(StreamOptions options);
 
-  /// @brief Takes one message in. Constant time but for the token's text.
-  /// @param now never earlier than at the step before
-  /// @param message what happened
-  /// @return what to do, in sequence
+  /// @brief Processes one message.
+  /// @param now not earlier than in the previous step
+  /// @param message the input message
+  /// @return the actions to execute, in order
+  /// @note Complexity: constant, apart from moving the token text.
   StreamActions Step(Instant now, StreamMessage message);
 
-  /// @return when StreamTick is due at the latest; kNever when nothing is timed
+  /// @return latest time of the next StreamTick; kNever if no timer is active
   Instant NextWakeup() const;
 
-  /// @return where the stream stands
+  /// @return the current phase
   StreamPhase Phase() const { return this->current_phase; }
-  /// @return the generation in force; empty before the first
+  /// @return the current generation; empty before the first one
   const GenerationId& Generation() const { return this->current_generation; }
-  /// @return the worker of that generation
+  /// @return the worker of the current generation
   const UpstreamId& Worker() const { return this->current_worker; }
   /// @return the offset of the next token
   std::uint64_t NextOffset() const { return this->offset; }
-  /// @return what was dropped or met so far
+  /// @return the counters so far
   const StreamCounts& Counts() const { return this->totals; }
-  /// @return what a caller may be told if the stream ended now
+  /// @return the outcome to report to the caller if the stream ended now
   Outcome CurrentOutcome() const;
 
  private:
@@ -109,16 +110,17 @@
   void Handle(Instant now, StreamAbort& message, StreamActions& out);
   void Handle(Instant now, StreamTick& message, StreamActions& out);
 
+  /// Returns whether events of the call are valid; counts others as late.
   bool IsCurrentCall(StreamAttempt attempt);
-  void TakeToken(Instant now, EngineFrame& frame, StreamActions& out);
-  void TakeFinish(const EngineFrame& frame, StreamActions& out);
-  void LearnGap(Instant now);
+  void HandleToken(Instant now, EngineFrame& frame, StreamActions& out);
+  void HandleFinish(const EngineFrame& frame, StreamActions& out);
+  void UpdateMeanGap(Instant now);
   void PauseIfFull(StreamActions& out);
   void RetryCall(Instant now, StreamCallEnd cause, StreamActions& out);
-  void OpenResume(Instant now, StreamActions& out);
-  void LoseGeneration(StreamCallEnd cause, bool reached_worker,
-                      StreamActions& out);
-  void CloseCall(StreamActions& out);
+  void OpenResumeCall(Instant now, StreamActions& out);
+  void HandleGenerationLost(StreamCallEnd cause, bool reached_worker,
+                            StreamActions& out);
+  void AbandonAndCancel(StreamActions& out);
   void End(Problem problem, StreamActions& out);
   Duration StallTimeout() const;
 
@@ -126,17 +128,17 @@
   StreamPhase current_phase = StreamPhase::kWaitingForWorker;
   GenerationId current_generation;
   UpstreamId current_worker;
-  std::uint64_t offset = 0;    ///< of the next token
-  std::uint64_t standing = 0;  ///< tokens that the caller holds
-  GenerationId standing_generation;
+  std::uint64_t offset = 0;       ///< offset of the next token
+  std::uint64_t held_tokens = 0;  ///< tokens that the caller holds
+  GenerationId held_generation;
   StreamAttempt attempt = 0;
-  bool starting = false;      ///< the open call is the generation's first
-  bool at_worker = false;     ///< the generation may be at its worker
-  bool may_have_run = false;  ///< an earlier generation may have run
+  bool first_call = false;        ///< the open call started its generation
+  bool may_be_at_worker = false;  ///< the worker may be running it
+  bool may_have_run = false;      ///< an earlier generation may have run
   std::uint32_t generations = 0;
-  std::uint32_t resumes_in_row = 0;
-  Instant resume_at = kNever;
-  Instant last_sign;
+  std::uint32_t consecutive_resumes = 0;
+  Instant next_resume = kNever;
+  Instant last_activity;
   Instant last_token = kNever;
   Duration mean_gap{0};
   bool paused = false;
--- a/src/streams/engine_frame.cc
+++ b/src/streams/engine_frame.cc
@@ -18,10 +18,10 @@
   const auto offset = data.find("offset");
   if (generation == data.end() || !generation->is_string() ||
       generation->get_ref<const std::string&>().empty()) {
-    return Malformed("frame without a generation");
+    return Malformed("frame has no valid generation");
   }
   if (offset == data.end() || !offset->is_number_unsigned()) {
-    return Malformed("frame without an offset");
+    return Malformed("frame has no valid offset");
   }
   frame.generation = GenerationId{generation->get<std::string>()};
   frame.offset = offset->get<std::uint64_t>();
@@ -36,7 +36,7 @@
   }
   if (text != data.end()) {
     if (!text->is_string()) {
-      return Malformed("frame text is no string");
+      return Malformed("frame text is not a string");
     }
     frame.text = text->get<std::string>();
     return absl::OkStatus();
@@ -45,7 +45,8 @@
     frame.finish =
         ParseEnum<FinishReason>(finish->get_ref<const std::string&>());
   }
-  return frame.finish ? absl::OkStatus() : Malformed("unknown finish_reason");
+  return frame.finish ? absl::OkStatus()
+                      : Malformed("frame has an unknown finish_reason");
 }
 
 }  // namespace
@@ -53,7 +54,7 @@
 absl::StatusOr<EngineFrame> ParseEngineFrame(const SseEvent& event) {
   const auto data = nlohmann::json::parse(event.data, nullptr, false);
   if (!data.is_object()) {
-    return Malformed("frame is no JSON object");
+    return Malformed("frame is not a JSON object");
   }
   EngineFrame frame;
   if (const absl::Status status = ReadIdentity(data, frame); !status.ok()) {
@@ -63,7 +64,7 @@
     return status;
   }
   if (!event.id.empty() && event.id != EventId(frame)) {
-    return Malformed("frame id and data differ");
+    return Malformed("frame id does not match its data");
   }
   return frame;
 }
--- a/src/streams/resume_token.cc
+++ b/src/streams/resume_token.cc
@@ -128,17 +128,17 @@
                                              const OrganisationId& organisation,
                                              std::string_view text) {
   if (text.size() > kMaxTextBytes) {
-    return Invalid("too long");
+    return Invalid("resume token is too long");
   }
   const std::vector<std::string_view> parts = Split(text);
   if (parts.size() != kParts || parts[0] != kVersion) {
-    return Invalid("not a resume token");
+    return Invalid("resume token has an unknown format");
   }
   const std::size_t body_size =
       text.size() - parts[5].size() - parts[6].size() - 2;
   const std::string mac = Mac(secret, organisation, text.substr(0, body_size));
   if (!EqualInConstantTime(mac, parts[5])) {
-    return Invalid("not minted here for this organisation");
+    return Invalid("resume token signature is not valid for this organisation");
   }
   const auto worker = Unescape(parts[1]);
   const auto generation = Unescape(parts[2]);
@@ -147,7 +147,7 @@
   if (!worker || !generation || !route ||
       !ParseNumber(parts[3], token.fleet_version) ||
       !ParseNumber(parts[6], token.offset)) {
-    return Invalid("malformed field");
+    return Invalid("resume token has a malformed field");
   }
   token.worker = UpstreamId{*worker};
   token.generation = GenerationId{*generation};
--- a/src/streams/sse.cc
+++ b/src/streams/sse.cc
@@ -36,12 +36,12 @@
       continue;
     }
     if (c == '\n' || c == '\r') {
-      this->failure = this->TakeLine(events);
+      this->failure = this->ProcessLine(events);
       continue;
     }
     if (this->line.size() >= this->limits.max_line_bytes) {
-      this->failure =
-          MakeStatus(ErrorCode::kUpstreamMalformed, "event line too long");
+      this->failure = MakeStatus(ErrorCode::kUpstreamMalformed,
+                                 "event line exceeds its size limit");
       continue;
     }
     this->line.push_back(c);
@@ -52,7 +52,7 @@
   return events;
 }
 
-absl::Status SseDecoder::TakeLine(std::vector<SseEvent>& events) {
+absl::Status SseDecoder::ProcessLine(std::vector<SseEvent>& events) {
   std::string_view text = this->line;
   if (this->at_start && text.substr(0, 3) == kByteOrderMark) {
     text.remove_prefix(kByteOrderMark.size());
@@ -72,18 +72,19 @@
     if (!value.empty() && value.front() == ' ') {
       value.remove_prefix(1);
     }
-    status = this->TakeField(text.substr(0, colon), value);
+    status = this->ProcessField(text.substr(0, colon), value);
   }
   this->line.clear();
   return status;
 }
 
-absl::Status SseDecoder::TakeField(std::string_view name,
-                                   std::string_view value) {
+absl::Status SseDecoder::ProcessField(std::string_view name,
+                                      std::string_view value) {
   if (name == "data") {
     if (this->current.data.size() + value.size() >
         this->limits.max_event_bytes) {
-      return MakeStatus(ErrorCode::kUpstreamMalformed, "event too large");
+      return MakeStatus(ErrorCode::kUpstreamMalformed,
+                        "event data exceeds its size limit");
     }
     if (this->has_data) {
       this->current.data.push_back('\n');
--- a/src/streams/stream.cc
+++ b/src/streams/stream.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t kEventOverheadBytes = 200;  // id, JSON around the text
-constexpr std::int64_t kGapWeight = 8;  // share of a new gap in the mean: 1/8
+constexpr std::int64_t kGapWeight = 8;  // weight of a new gap in the mean: 1/8
 constexpr std::uint32_t kMaxDoublings = 10;
 
 Duration Doubled(Duration base, std::uint32_t times) {
@@ -26,10 +26,10 @@
 
 Instant Stream::NextWakeup() const {
   if (this->current_phase == StreamPhase::kBackoff) {
-    return this->resume_at;
+    return this->next_resume;
   }
   if (this->current_phase == StreamPhase::kCalling && !this->paused) {
-    return this->last_sign + this->StallTimeout();
+    return this->last_activity + this->StallTimeout();
   }
   return kNever;
 }
@@ -38,8 +38,8 @@
   if (this->totals.delivered > 0) {
     return Outcome::kRan;
   }
-  const bool reached = this->at_worker || this->may_have_run;
-  return reached ? Outcome::kUnknown : Outcome::kNotRun;
+  const bool reached_worker = this->may_be_at_worker || this->may_have_run;
+  return reached_worker ? Outcome::kUnknown : Outcome::kNotRun;
 }
 
 void Stream::Handle(Instant now, StreamBegin& message, StreamActions& out) {
@@ -47,24 +47,24 @@
     ++this->totals.late;
     return;
   }
-  if (this->standing > 0) {
+  if (this->held_tokens > 0) {
     ++this->totals.restarts;
-    out.push_back(RestartStream{this->standing_generation, this->standing,
+    out.push_back(RestartStream{this->held_generation, this->held_tokens,
                                 message.generation});
   } else if (this->generations > 0) {
     ++this->totals.silent_reruns;
   }
   this->current_generation = std::move(message.generation);
   this->current_worker = std::move(message.worker);
-  this->standing = 0;
-  this->standing_generation = this->current_generation;
+  this->held_tokens = 0;
+  this->held_generation = this->current_generation;
   this->offset = 0;
-  this->resumes_in_row = 0;
+  this->consecutive_resumes = 0;
   this->last_token = kNever;
-  this->last_sign = now;
+  this->last_activity = now;
   this->paused = false;
-  this->starting = true;
-  this->at_worker = true;
+  this->first_call = true;
+  this->may_be_at_worker = true;
   this->current_phase = StreamPhase::kCalling;
   ++this->generations;
   ++this->attempt;
@@ -80,13 +80,13 @@
   }
   this->current_generation = std::move(message.generation);
   this->current_worker = std::move(message.worker);
-  this->standing_generation = this->current_generation;
-  this->standing = message.offset;
+  this->held_generation = this->current_generation;
+  this->held_tokens = message.offset;
   this->offset = message.offset;
-  this->at_worker = true;
+  this->may_be_at_worker = true;
   this->may_have_run = true;
   this->generations = 1;
-  this->OpenResume(now, out);
+  this->OpenResumeCall(now, out);
 }
 
 bool Stream::IsCurrentCall(StreamAttempt attempt) {
@@ -118,40 +118,40 @@
     return;
   }
   if (frame.finish) {
-    this->TakeFinish(frame, out);
+    this->HandleFinish(frame, out);
     return;
   }
-  this->TakeToken(now, frame, out);
+  this->HandleToken(now, frame, out);
 }
 
-void Stream::TakeToken(Instant now, EngineFrame& frame, StreamActions& out) {
-  this->LearnGap(now);
-  this->resumes_in_row = 0;
+void Stream::HandleToken(Instant now, EngineFrame& frame, StreamActions& out) {
+  this->UpdateMeanGap(now);
+  this->consecutive_resumes = 0;
   this->buffered += frame.text.size() + kEventOverheadBytes;
   out.push_back(DeliverToken{this->current_generation, this->offset,
                              std::move(frame.text)});
   ++this->offset;
-  ++this->standing;
+  ++this->held_tokens;
   ++this->totals.delivered;
   this->PauseIfFull(out);
 }
 
-void Stream::TakeFinish(const EngineFrame& frame, StreamActions& out) {
+void Stream::HandleFinish(const EngineFrame& frame, StreamActions& out) {
   this->current_phase = StreamPhase::kEnded;
-  this->at_worker = false;
+  this->may_be_at_worker = false;
   this->may_have_run = true;
   out.push_back(AbandonCall{this->attempt});
   out.push_back(
       FinishStream{this->current_generation, this->offset, *frame.finish});
 }
 
-void Stream::LearnGap(Instant now) {
+void Stream::UpdateMeanGap(Instant now) {
   if (this->last_token != kNever) {
     const Duration gap = now - this->last_token;
     this->mean_gap += (gap - this->mean_gap) / kGapWeight;
   }
   this->last_token = now;
-  this->last_sign = now;
+  this->last_activity = now;
 }
 
 void Stream::PauseIfFull(StreamActions& out) {
@@ -165,7 +165,7 @@
 
 void Stream::Handle(Instant now, StreamCallActivity& message, StreamActions&) {
   if (this->IsCurrentCall(message.attempt)) {
-    this->last_sign = now;
+    this->last_activity = now;
   }
 }
 
@@ -174,44 +174,45 @@
     return;
   }
   const StreamCallEnd end = message.end;
-  const bool nothing_sent =
+  const bool not_executed =
       end == StreamCallEnd::kNotConnected || end == StreamCallEnd::kRefused;
-  if (this->starting && nothing_sent) {
-    this->LoseGeneration(end, false, out);
+  if (this->first_call && not_executed) {
+    this->HandleGenerationLost(end, false, out);
     return;
   }
   if (end == StreamCallEnd::kUnknownGeneration) {
-    this->LoseGeneration(end, true, out);
+    this->HandleGenerationLost(end, true, out);
     return;
   }
   this->RetryCall(now, end, out);
 }
 
 void Stream::RetryCall(Instant now, StreamCallEnd cause, StreamActions& out) {
-  if (this->resumes_in_row >= this->options.max_resumes) {
-    this->LoseGeneration(cause, true, out);
+  if (this->consecutive_resumes >= this->options.max_resumes) {
+    this->HandleGenerationLost(cause, true, out);
     return;
   }
-  const std::uint32_t before = this->resumes_in_row;
-  ++this->resumes_in_row;
+  const std::uint32_t previous_resumes = this->consecutive_resumes;
+  ++this->consecutive_resumes;
   this->current_phase = StreamPhase::kBackoff;
   if (this->paused) {
-    this->resume_at = kNever;  // until the caller drains
+    this->next_resume = kNever;  // resumes once the caller has read
     return;
   }
-  if (before == 0) {
-    this->OpenResume(now, out);
+  if (previous_resumes == 0) {
+    this->OpenResumeCall(now, out);
     return;
   }
-  this->resume_at = now + Doubled(this->options.resume_backoff, before - 1);
+  this->next_resume =
+      now + Doubled(this->options.resume_backoff, previous_resumes - 1);
 }
 
-void Stream::OpenResume(Instant now, StreamActions& out) {
+void Stream::OpenResumeCall(Instant now, StreamActions& out) {
   this->current_phase = StreamPhase::kCalling;
-  this->starting = false;
+  this->first_call = false;
   this->paused = false;
-  this->resume_at = kNever;
-  this->last_sign = now;
+  this->next_resume = kNever;
+  this->last_activity = now;
   this->last_token = kNever;
   ++this->attempt;
   ++this->totals.resumes;
@@ -219,26 +220,27 @@
                            this->current_worker, this->offset});
 }
 
-void Stream::LoseGeneration(StreamCallEnd cause, bool reached_worker,
-                            StreamActions& out) {
+void Stream::HandleGenerationLost(StreamCallEnd cause, bool reached_worker,
+                                  StreamActions& out) {
   if (reached_worker) {
     this->may_have_run = true;
     out.push_back(
         CancelGeneration{this->current_worker, this->current_generation});
   }
-  this->at_worker = false;
+  this->may_be_at_worker = false;
   this->paused = false;
   this->current_phase = StreamPhase::kWaitingForWorker;
   this->excluded.push_back(this->current_worker);
-  const bool keep = this->standing > 0 && this->options.on_loss == OnLoss::kEnd;
-  if (keep || this->generations >= this->options.max_generations) {
+  const bool keeps_tokens =
+      this->held_tokens > 0 && this->options.on_loss == OnLoss::kEnd;
+  if (keeps_tokens || this->generations >= this->options.max_generations) {
     this->End({ErrorCode::kStreamLost, Outcome::kUnknown,
-               "the stream's engine was lost", std::nullopt},
+               "the engine of the stream was lost", std::nullopt},
               out);
     return;
   }
-  out.push_back(
-      RequestNewWorker{this->excluded, this->standing, cause, reached_worker});
+  out.push_back(RequestNewWorker{this->excluded, this->held_tokens, cause,
+                                 reached_worker});
 }
 
 void Stream::Handle(Instant now, StreamBufferDrained& message,
@@ -249,10 +251,10 @@
   }
   this->paused = false;
   if (this->current_phase == StreamPhase::kBackoff) {
-    this->OpenResume(now, out);
+    this->OpenResumeCall(now, out);
     return;
   }
-  this->last_sign = now;
+  this->last_activity = now;
   this->last_token = kNever;
   out.push_back(PauseCall{this->attempt, false});
 }
@@ -264,7 +266,7 @@
   if (this->current_phase == StreamPhase::kCalling) {
     out.push_back(AbandonCall{this->attempt});
   }
-  if (this->at_worker && message.cancel) {
+  if (this->may_be_at_worker && message.cancel) {
     out.push_back(
         CancelGeneration{this->current_worker, this->current_generation});
   }
@@ -275,15 +277,15 @@
   if (this->current_phase == StreamPhase::kEnded) {
     return;
   }
-  this->CloseCall(out);
+  this->AbandonAndCancel(out);
   this->End(std::move(message.problem), out);
 }
 
-void Stream::CloseCall(StreamActions& out) {
+void Stream::AbandonAndCancel(StreamActions& out) {
   if (this->current_phase == StreamPhase::kCalling) {
     out.push_back(AbandonCall{this->attempt});
   }
-  if (this->at_worker) {
+  if (this->may_be_at_worker) {
     out.push_back(
         CancelGeneration{this->current_worker, this->current_generation});
   }
@@ -292,7 +294,7 @@
 void Stream::End(Problem problem, StreamActions& out) {
   problem.outcome = this->CurrentOutcome();
   this->current_phase = StreamPhase::kEnded;
-  out.push_back(EndIncomplete{this->standing_generation, this->standing,
+  out.push_back(EndIncomplete{this->held_generation, this->held_tokens,
                               std::move(problem)});
 }
 
@@ -301,7 +303,7 @@
     return;
   }
   if (this->current_phase == StreamPhase::kBackoff) {
-    this->OpenResume(now, out);
+    this->OpenResumeCall(now, out);
     return;
   }
   if (this->current_phase == StreamPhase::kCalling && !this->paused) {
@@ -318,7 +320,7 @@
                       this->options.min_stall_timeout,
                       this->options.max_stall_timeout);
   }
-  return std::min(Doubled(base, this->resumes_in_row),
+  return std::min(Doubled(base, this->consecutive_resumes),
                   std::max(base, this->options.max_stall_timeout));
 }
 
--- a/src/streams/streams.h
+++ b/src/streams/streams.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Streams of one generation to one caller: order, identity, resume,
-/// loss, back-pressure, and the codec of server-sent events.
+/// @brief Token streams from an engine to a caller: ordering, deduplication,
+/// resumption, loss handling, back-pressure and the server-sent events codec.
 #pragma once
 
 #include "streams/detail/engine_frame.h"
