--- a/src/streams/tests/resume_token_test.cc
+++ b/src/streams/tests/resume_token_test.cc
@@ -8,7 +8,7 @@
 const OrganisationId kOwner{"swan coast"};
 const ResumeToken kToken{{"perth-a.7"}, {"gen/1.2"}, 12, 41, "draft"};
 
-TEST_CASE("resume token, minted and read, gives the same fields") {
+TEST_CASE("resume token, minted and parsed, gives the same fields") {
   const std::string text = MintResumeToken("secret", kOwner, kToken);
   const auto token = ParseResumeToken("secret", kOwner, text);
   REQUIRE(token.ok());
@@ -38,12 +38,12 @@
       CHECK(refused(ParseResumeToken("secret", kOwner, forged)));
     }
   }
-  SECTION("cut anywhere") {
+  SECTION("truncated at any byte") {
     for (std::size_t size = 0; size <= text.rfind('.') + 1; ++size) {
       CHECK(refused(ParseResumeToken("secret", kOwner, text.substr(0, size))));
     }
   }
-  SECTION("too long or with a sign") {
+  SECTION("too long or with a signed offset") {
     CHECK(refused(
         ParseResumeToken("secret", kOwner, text + std::string(2000, '1'))));
     CHECK(refused(ParseResumeToken("secret", kOwner,
--- a/src/streams/tests/sse_test.cc
+++ b/src/streams/tests/sse_test.cc
@@ -5,7 +5,7 @@
 namespace limpetlink {
 namespace {
 
-TEST_CASE("sse decoder, bytes cut anywhere, gives the same events") {
+TEST_CASE("sse decoder, input split anywhere, gives the same events") {
   const std::string wire =
       "\xEF\xBB\xBF: hello\r\nid: 1\r\nevent: token\r\ndata: a\r\ndata: b\r\n"
       "\r\ndata:c\n\nid: 2\rdata\r\r: x\n\nevent: none\n\n";
@@ -28,7 +28,7 @@
   }
 }
 
-TEST_CASE("sse decoder, line or event beyond its bound, fails for good") {
+TEST_CASE("sse decoder, line or event over its limit, fails permanently") {
   SseDecoder decoder(SseLimits{8, 12});
   SECTION("line") { CHECK_FALSE(decoder.Feed("data: abcdef").ok()); }
   SECTION("event") {
@@ -38,7 +38,7 @@
   CHECK_FALSE(decoder.Feed("\n\n").ok());
 }
 
-TEST_CASE("sse encoder, text with line breaks, reads back whole") {
+TEST_CASE("sse encoder, text with line breaks, decodes to the same text") {
   SseDecoder decoder;
   const auto events = decoder.Feed(EncodeSseComment("place\n3") +
                                    EncodeSse({"i\n1", "e\r2", "a\nb\r\nc\rd"}));
@@ -50,7 +50,7 @@
   CHECK(decoder.CommentCount() == 1);
 }
 
-TEST_CASE("engine frame, encoded and read, is the same") {
+TEST_CASE("engine frame, encoded and parsed, is unchanged") {
   const EngineFrame token{{"g"}, 3, "caf\xC3\xA9\n", std::nullopt};
   const auto read = ParseEngineFrame(EncodeEngineFrame(token));
   REQUIRE(read.ok());
@@ -64,7 +64,7 @@
   CHECK(finish->finish == FinishReason::kLength);
 }
 
-TEST_CASE("engine frame, malformed, is an error with upstream.104") {
+TEST_CASE("engine frame, malformed, gives error upstream.104") {
   const std::vector<std::string> malformed = {
       "",
       "[]",
--- a/src/streams/tests/stream_history.h
+++ b/src/streams/tests/stream_history.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What one caller saw of its stream, and the checker of its promises.
+/// @brief History of one caller's stream, and checks of the stream guarantees.
 #pragma once
 
 #include <cstdint>
@@ -12,44 +12,45 @@
 
 namespace limpetlink {
 
-/// @brief A token as a caller took it.
-struct SeenToken {
+/// @brief A token as the caller received it.
+struct ReceivedToken {
   GenerationId generation;
   std::uint64_t offset = 0;
   std::string text;
 };
 
-/// @brief The whole history of one request over all hosts that served it.
+/// @brief Complete history of one request over all hosts that served it.
 struct StreamHistory {
-  /// What each generation consists of, as its engine made it.
+  /// Token texts of each generation, as its engine produced them.
   std::map<GenerationId, std::vector<std::string>> generations;
-  /// Generations whose request reached an engine.
-  std::map<GenerationId, bool> reached;
-  /// What the caller holds; a restart event empties it.
-  std::vector<SeenToken> held;
+  /// Whether the request of a generation reached an engine.
+  std::map<GenerationId, bool> reached_engine;
+  /// Tokens that the caller holds; a restart event clears them.
+  std::vector<ReceivedToken> received;
   int finishes = 0;
   int incomplete = 0;
   std::optional<FinishStream> finish;
   std::optional<EndIncomplete> end;
   bool caller_left = false;
   bool tokens_after_end = false;
-  std::vector<GenerationId> cancelled_while_read;  ///< though in use
+  /// Generations cancelled while another host served them.
+  std::vector<GenerationId> cancelled_in_use;
 
-  /// @brief Takes what the caller is given.
-  void Token(const DeliverToken& token);
-  /// @brief Takes a restart event.
-  void Restart(const RestartStream& restart);
+  /// @brief Records a token delivered to the caller.
+  void RecordToken(const DeliverToken& token);
+  /// @brief Records a restart event and clears the received tokens.
+  void RecordRestart(const RestartStream& restart);
 
-  /// @brief Checks every promise over the whole history.
-  /// @param settled whether the run went on until every wait had ended
-  /// @return what is broken, in words; empty when nothing is
-  std::vector<std::string> Check(bool settled) const;
+  /// @brief Checks all guarantees over the complete history.
+  /// @param completed whether the run continued until no task was pending
+  /// @return a description of each violation; empty if there is none
+  std::vector<std::string> FindViolations(bool completed) const;
 
  private:
-  void CheckTokens(std::vector<std::string>& faults) const;
-  void CheckEnds(bool settled, std::vector<std::string>& faults) const;
+  void CheckTokens(std::vector<std::string>& violations) const;
+  void CheckEnds(bool completed, std::vector<std::string>& violations) const;
 
-  bool restart_named_wrongly = false;
+  bool restart_mismatch = false;
 };
 
 }  // namespace limpetlink
--- a/src/streams/tests/stream_test.cc
+++ b/src/streams/tests/stream_test.cc
@@ -23,7 +23,7 @@
       REQUIRE(this->Token(1, i).size() == 1);
     }
   }
-  StreamActions TickUntilLost() {
+  StreamActions TickUntilGenerationLost() {
     StreamActions last;
     while (this->stream.Phase() == StreamPhase::kCalling ||
            this->stream.Phase() == StreamPhase::kBackoff) {
@@ -44,8 +44,7 @@
   return nullptr;
 }
 
-TEST_CASE_METHOD(StreamFixture,
-                 "stream, frame that does not match exactly, is dropped") {
+TEST_CASE_METHOD(StreamFixture, "stream, unexpected frame, is dropped") {
   this->BeginWithTokens(2);
   SECTION("duplicate") {
     CHECK(this->Token(1, 1).empty());
@@ -56,7 +55,7 @@
     CHECK(this->Step(StreamFrame{1, frame}).empty());
     CHECK(this->stream.Counts().stale == 1);
   }
-  SECTION("gap resumes at the awaited offset") {
+  SECTION("gap, resumes at the expected offset") {
     const StreamActions actions = this->Token(1, 3);
     CHECK(Find<DeliverToken>(actions) == nullptr);
     REQUIRE(Find<ResumeCall>(actions) != nullptr);
@@ -65,7 +64,7 @@
     CHECK(this->stream.Counts().late == 1);
     CHECK(Find<DeliverToken>(this->Token(2, 2)) != nullptr);
   }
-  SECTION("finish with another count") {
+  SECTION("finish with another token count") {
     const EngineFrame finish{{"g1"}, 1, "", FinishReason::kStop};
     CHECK(this->Step(StreamFrame{1, finish}).empty());
     CHECK(this->stream.Phase() == StreamPhase::kCalling);
@@ -84,7 +83,8 @@
   CHECK(this->stream.NextWakeup() == kNever);
 }
 
-TEST_CASE_METHOD(StreamFixture, "stream, call cut, resumes in place") {
+TEST_CASE_METHOD(StreamFixture,
+                 "stream, connection broken, resumes at the same worker") {
   this->BeginWithTokens(3);
   const StreamActions actions =
       this->Step(StreamCallEnded{1, StreamCallEnd::kCut});
@@ -93,10 +93,11 @@
   CHECK(Find<ResumeCall>(actions)->offset == 3);
 }
 
-TEST_CASE_METHOD(StreamFixture, "stream, silent engine, is lost in the end") {
+TEST_CASE_METHOD(StreamFixture,
+                 "stream, unresponsive engine, loses its generation") {
   SECTION("tokens delivered, route restarts") {
     this->BeginWithTokens(3);
-    const StreamActions lost = this->TickUntilLost();
+    const StreamActions lost = this->TickUntilGenerationLost();
     CHECK(Find<CancelGeneration>(lost) != nullptr);
     REQUIRE(Find<RequestNewWorker>(lost) != nullptr);
     CHECK(Find<RequestNewWorker>(lost)->delivered == 3);
@@ -105,9 +106,9 @@
     CHECK(Find<RestartStream>(begun)->dropped_tokens == 3);
     CHECK(this->stream.NextOffset() == 0);
   }
-  SECTION("nothing delivered, runs again silently") {
+  SECTION("nothing delivered, reruns unnoticed by the caller") {
     this->Step(StreamBegin{{"g1"}, {"w1"}});
-    REQUIRE(Find<RequestNewWorker>(this->TickUntilLost()) != nullptr);
+    REQUIRE(Find<RequestNewWorker>(this->TickUntilGenerationLost()) != nullptr);
     const StreamActions begun = this->Step(StreamBegin{{"g2"}, {"w2"}});
     CHECK(Find<RestartStream>(begun) == nullptr);
     CHECK(this->stream.Counts().silent_reruns == 1);
@@ -116,7 +117,7 @@
     this->options.on_loss = OnLoss::kEnd;
     this->stream = Stream(this->options);
     this->BeginWithTokens(3);
-    const StreamActions lost = this->TickUntilLost();
+    const StreamActions lost = this->TickUntilGenerationLost();
     REQUIRE(Find<EndIncomplete>(lost) != nullptr);
     CHECK(Find<EndIncomplete>(lost)->tokens == 3);
     CHECK(Find<EndIncomplete>(lost)->problem.outcome == Outcome::kRan);
@@ -124,7 +125,7 @@
 }
 
 TEST_CASE_METHOD(StreamFixture,
-                 "stream, given up, tells only what is known to be true") {
+                 "stream, aborted, reports no outcome that may be false") {
   const Problem problem{ErrorCode::kRoutingNoUpstream, Outcome::kNotRun, "",
                         std::nullopt};
   const auto outcome = [&] {
@@ -142,7 +143,7 @@
     this->Step(StreamCallEnded{1, StreamCallEnd::kRefused});
     CHECK(outcome() == Outcome::kNotRun);
   }
-  SECTION("cut, then gone, then not connected elsewhere") {
+  SECTION("cut, then unknown generation, then not connected elsewhere") {
     this->Step(StreamCallEnded{1, StreamCallEnd::kCut});
     this->Step(StreamCallEnded{2, StreamCallEnd::kUnknownGeneration});
     this->Step(StreamBegin{{"g2"}, {"w2"}});
@@ -159,7 +160,7 @@
   REQUIRE(Find<PauseCall>(this->Token(1, 2)) != nullptr);
   CHECK(this->stream.NextWakeup() == kNever);
   CHECK(this->Step(StreamBufferDrained{101}).empty());
-  SECTION("drained, goes on") {
+  SECTION("drained, resumes reading") {
     const StreamActions actions = this->Step(StreamBufferDrained{100});
     REQUIRE(Find<PauseCall>(actions) != nullptr);
     CHECK_FALSE(Find<PauseCall>(actions)->paused);
@@ -175,14 +176,15 @@
   SECTION("by a live host") {
     CHECK(Find<CancelGeneration>(this->Step(StreamCallerLeft{true})));
   }
-  SECTION("by a host that was frozen, only lets go") {
+  SECTION("by a host that was frozen, only closes its call") {
     const StreamActions actions = this->Step(StreamCallerLeft{false});
     CHECK(Find<CancelGeneration>(actions) == nullptr);
     CHECK(Find<AbandonCall>(actions) != nullptr);
   }
 }
 
-TEST_CASE_METHOD(StreamFixture, "stream, taken up, goes on at the offset") {
+TEST_CASE_METHOD(StreamFixture,
+                 "stream, resumed at another host, continues at the offset") {
   const StreamActions actions = this->Step(StreamResume{{"g1"}, {"w1"}, 7});
   REQUIRE(Find<ResumeCall>(actions) != nullptr);
   CHECK(Find<ResumeCall>(actions)->offset == 7);
