--- a/src/entry/completion_handler.cc
+++ b/src/entry/completion_handler.cc
@@ -49,7 +49,8 @@
 
 StreamCallEnd StreamCallEndOfStatus(int status) {
   constexpr int kNotFound = 404;
-  return status == kNotFound ? StreamCallEnd::kGone : StreamCallEnd::kRefused;
+  return status == kNotFound ? StreamCallEnd::kUnknownGeneration
+                             : StreamCallEnd::kRefused;
 }
 
 }  // namespace
@@ -151,7 +152,7 @@
   this->shared.metrics.Add(Counter::kStreamsResumed);
   stored.tokens = static_cast<std::uint32_t>(token->offset);
   this->StepStream(
-      stored, StreamTakeUp{token->generation, token->worker, token->offset});
+      stored, StreamResume{token->generation, token->worker, token->offset});
   return absl::OkStatus();
 }
 
@@ -192,7 +193,7 @@
 void CompletionHandler::OnRefuse(const Refuse& refuse) {
   Completion& completion = this->completions.at(refuse.request);
   completion.placed = false;
-  this->StepStream(completion, StreamGiveUp{refuse.problem});
+  this->StepStream(completion, StreamAbort{refuse.problem});
 }
 
 void CompletionHandler::OnWaiting(const Waiting& waiting) {
@@ -237,7 +238,7 @@
 
 void CompletionHandler::OnCallerDrained(const CallerDrained& drained) {
   this->StepStream(this->completions.at(drained.id),
-                   StreamDrained{drained.buffered});
+                   StreamBufferDrained{drained.buffered});
 }
 
 void CompletionHandler::OnHead(RequestId id, const HttpHead& head) {
@@ -246,7 +247,7 @@
   completion.call.status = head.status;
   const StreamAttempt attempt = completion.call.attempt;
   if (head.status == kOk) {
-    this->StepStream(completion, StreamCallAlive{attempt});
+    this->StepStream(completion, StreamCallActivity{attempt});
     return;
   }
   this->shared.CancelHttp(head.id);
@@ -297,16 +298,16 @@
       std::max(completion.expected_wait, kRetryAfterDeadline);
   this->StepStream(
       completion,
-      StreamGiveUp{{ErrorCode::kRequestDeadlineReached, Outcome::kUnknown,
-                    "the deadline was reached before the response was complete",
-                    retry_after}});
+      StreamAbort{{ErrorCode::kRequestDeadlineReached, Outcome::kUnknown,
+                   "the deadline was reached before the response was complete",
+                   retry_after}});
 }
 
 void CompletionHandler::OnNoticeDue(const WaitNotice& notice) {
   Completion& completion = this->completions.at(notice.id);
   this->SendHead(completion);
   const std::string text =
-      absl::StrCat("waiting place=", notice.place,
+      absl::StrCat("waiting place=", notice.position,
                    " expected_wait_s=", ToSeconds(notice.expected_wait));
   this->shared.actions.emplace_back(
       ReplyBody{notice.id, EncodeSseComment(text)});
