--- a/bench/decisions_policies.cc
+++ b/bench/decisions_policies.cc
@@ -354,7 +354,7 @@
           {"no headroom",
            Dispatching([](AdmissionPolicy& p) { p.headroom = false; })},
           {"no early refusal", Dispatching([](AdmissionPolicy& p) {
-             p.longest_wait = std::chrono::seconds(3600);
+             p.max_wait = std::chrono::seconds(3600);
            })}};
 }
 
--- a/bench/decisions_traffic.cc
+++ b/bench/decisions_traffic.cc
@@ -37,7 +37,7 @@
       }
       left -= 1;
     }
-    network.Run(kStep);
+    network.Advance(kStep);
   }
   counted.seconds = ToSeconds(length);
   return counted;
--- a/src/admission/detail/lengths.h
+++ b/src/admission/detail/lengths.h
@@ -61,7 +61,7 @@
 /// right at the median and often far off, so each is drawn towards the
 /// median of the guesses for its route. No output has to end first: a host
 /// with few requests learns from a handful of arrivals.
-class GuessedLengths {
+class LengthHintEstimator {
  public:
   /// @brief Counts a guess and estimates its output's length.
   /// @param route requests with like outputs
@@ -69,8 +69,8 @@
   /// @param bound the longest output possible, tokens
   /// @return expected tokens, at least 1
   /// @note Complexity: logarithmic in the number of routes.
-  double Expect(const std::string& route, std::uint64_t guess,
-                std::uint64_t bound);
+  double Estimate(const std::string& route, std::uint64_t guess,
+                  std::uint64_t bound);
 
  private:
   struct Guesses {
--- a/src/admission/detail/policy.h
+++ b/src/admission/detail/policy.h
@@ -11,7 +11,7 @@
 struct AdmissionPolicy {
   double overflow_risk = 0.02;  ///< most that may be run that memory overflows
   Duration step_target{0};      ///< longest decode step wanted
-  Duration longest_wait{0};     ///< a longer expected wait is refused at once
+  Duration max_wait{0};         ///< a longer expected wait is refused at once
   double headroom_deviations = 2.0;  ///< verdict headroom above its mean
   bool organisation_lengths = true;  ///< false: lengths by route only
   bool risk = true;         ///< false: admit on current use (for comparisons)
--- a/src/admission/lengths.cc
+++ b/src/admission/lengths.cc
@@ -78,8 +78,8 @@
   return std::max(mean, 1.0);
 }
 
-double GuessedLengths::Expect(const std::string& route, std::uint64_t guess,
-                              std::uint64_t bound) {
+double LengthHintEstimator::Estimate(const std::string& route,
+                                     std::uint64_t guess, std::uint64_t bound) {
   const double log_guess =
       std::log(static_cast<double>(std::max<std::uint64_t>(guess, 1)));
   const auto most =
--- a/src/admission/policy.cc
+++ b/src/admission/policy.cc
@@ -25,7 +25,7 @@
   AdmissionPolicy policy;
   policy.overflow_risk = Between(kRiskAt0, kRiskAt1, weights.preemption);
   policy.step_target = FromSeconds(Between(kStepAt0, kStepAt1, weights.tail));
-  policy.longest_wait = FromSeconds(Between(kWaitAt0, kWaitAt1, weights.stall));
+  policy.max_wait = FromSeconds(Between(kWaitAt0, kWaitAt1, weights.stall));
   policy.headroom_deviations =
       Between(kHeadroomAt0, kHeadroomAt1, weights.stall);
   return policy;
--- a/src/admission/tests/lengths_test.cc
+++ b/src/admission/tests/lengths_test.cc
@@ -25,14 +25,14 @@
     "[admission]") {
   constexpr double kMedian = 600.0;
   Random random(7);
-  GuessedLengths lengths;
+  LengthHintEstimator lengths;
   double expected = 0;
   double guessed = 0;
   double actual = 0;
   for (int i = 0; i < 400; ++i) {
     const double length = kMedian * std::exp(0.8 * Deviate(&random));
     const double guess = length * std::exp(1.2 * Deviate(&random));
-    expected += lengths.Expect(
+    expected += lengths.Estimate(
         "draft", static_cast<std::uint64_t>(std::lround(guess)), kBound);
     guessed += guess;
     actual += length;
@@ -43,17 +43,17 @@
 }
 
 TEST_CASE("guessed lengths, one wild guess, counts little", "[admission]") {
-  GuessedLengths lengths;
+  LengthHintEstimator lengths;
   for (int i = 0; i < 8; ++i) {
-    lengths.Expect("draft", 600, kBound);
+    lengths.Estimate("draft", 600, kBound);
   }
-  CHECK(lengths.Expect("draft", 8000, kBound) < 2500.0);
-  CHECK(lengths.Expect("draft", 600, kBound) < 1100.0);
+  CHECK(lengths.Estimate("draft", 8000, kBound) < 2500.0);
+  CHECK(lengths.Estimate("draft", 600, kBound) < 1100.0);
 }
 
 TEST_CASE("guessed lengths, guess of nothing, still a token", "[admission]") {
-  GuessedLengths lengths;
-  CHECK(lengths.Expect("check", 0, 0) == 1.0);
+  LengthHintEstimator lengths;
+  CHECK(lengths.Estimate("check", 0, 0) == 1.0);
 }
 
 }  // namespace limpetlink
--- a/src/dispatch/core_grant.cc
+++ b/src/dispatch/core_grant.cc
@@ -117,7 +117,7 @@
 
 void DispatchCore::AnswerWaiting(Entry& entry) {
   const auto expected = this->ExpectedWait(entry, this->Ahead(entry));
-  const bool too_long = expected && *expected > this->policy.longest_wait;
+  const bool too_long = expected && *expected > this->policy.max_wait;
   if (too_long) {
     this->Send(entry.key.holder, PeerDeny{entry.key.ticket, *expected});
     this->Dequeue(entry, false);
--- a/src/dispatch/core_wait.cc
+++ b/src/dispatch/core_wait.cc
@@ -32,7 +32,7 @@
 }
 
 Duration DispatchCore::LongestWait(const Entry& entry) const {
-  const Duration by_weight = this->policy.longest_wait;
+  const Duration by_weight = this->policy.max_wait;
   if (entry.submit.deadline == kNever) {
     return by_weight;
   }
@@ -71,7 +71,7 @@
   entry.told_place = static_cast<std::uint32_t>(ahead);
   Waiting waiting;
   waiting.request = entry.submit.request;
-  waiting.place = entry.told_place;
+  waiting.position = entry.told_place;
   waiting.expected_wait =
       this->ExpectedWait(entry, ahead).value_or(Duration{0});
   waiting.reason = entry.ask && entry.ask->queued
--- a/src/dispatch/detail/messages.h
+++ b/src/dispatch/detail/messages.h
@@ -155,8 +155,8 @@
 /// about.
 struct Waiting {
   RequestId request;
-  std::uint32_t place = 0;    ///< 1 is next
-  Duration expected_wait{0};  ///< from the queue's drain rate
+  std::uint32_t position = 0;  ///< 1 is next
+  Duration expected_wait{0};   ///< from the queue's drain rate
   std::string reason;
 };
 
--- a/src/dispatch/tests/hosts_test.cc
+++ b/src/dispatch/tests/hosts_test.cc
@@ -51,9 +51,9 @@
           "[dispatch]") {
   Network network(Hosts(2, 1, 0, 1));
   const std::size_t other = 1 - network.OwnerOf(0);
-  network.Run(2 * kSecond);
+  network.Advance(2 * kSecond);
   const std::size_t id = network.Submit(other, 5 * kSecond);
-  network.Run(kSecond);
+  network.Advance(kSecond);
   REQUIRE(network.fates[id].placed);
   const Duration took =
       network.fates[id].answered - network.fates[id].submitted;
@@ -72,7 +72,7 @@
     };
     const std::size_t beside = fill();
     Network alone(Hosts(2, 1, 0, 1));
-    alone.Run(2 * kSecond);
+    alone.Advance(2 * kSecond);
     std::size_t empty = 0;
     while (alone.fates.empty() || alone.fates.back().placed) {
       alone.Submit(owner, 20 * kSecond);
@@ -86,13 +86,13 @@
           "[dispatch]") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Network network(Hosts(4, 3, 0.2, seed));
-    network.Run(6 * kSecond);
+    network.Advance(6 * kSecond);
     Random random(seed);
     for (int i = 0; i < 150; ++i) {
       network.Submit(random.Below(4), 2 * kSecond);
-      network.Run(std::chrono::milliseconds(50));
+      network.Advance(std::chrono::milliseconds(50));
     }
-    network.Run(70 * kSecond);
+    network.Advance(70 * kSecond);
     INFO("seed " << seed);
     CHECK(Unanswered(network) == 0);
     CHECK(Placed(network) >= 140);
@@ -101,7 +101,7 @@
     for (int i = 0; i < 12; ++i) {
       network.Submit(random.Below(4), 2 * kSecond);
     }
-    network.Run(6 * kSecond);
+    network.Advance(6 * kSecond);
     CHECK(Placed(network) == before + 12);
   }
 }
@@ -110,14 +110,14 @@
           "[dispatch]") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     Network network(Hosts(3, 1, 0.1, seed));
-    network.Run(6 * kSecond);
+    network.Advance(6 * kSecond);
     const std::size_t owner = network.OwnerOf(0);
     const std::size_t holder = (owner + 1) % 3;
     const std::size_t third = (owner + 2) % 3;
     for (int i = 0; i < 60; ++i) {
       network.Submit(holder, 40 * kSecond);
     }
-    network.Run(3 * kSecond);
+    network.Advance(3 * kSecond);
     const UpstreamId worker{"w0"};
     const std::size_t full = network.At(worker);
     REQUIRE(full > 4);
@@ -125,11 +125,11 @@
     for (int i = 0; i < 60; ++i) {
       network.Submit(third, 40 * kSecond);
     }
-    network.Run(10 * kSecond);
+    network.Advance(10 * kSecond);
     INFO("seed " << seed << " full " << full);
     // Two owners in turn may differ by what one lost announcement hides.
     CHECK(network.MostAt(worker) <= full + 4);
-    network.Run(120 * kSecond);
+    network.Advance(120 * kSecond);
     CHECK(Unanswered(network) == 0);
   }
 }
@@ -138,15 +138,15 @@
           "[dispatch]") {
   Network network(Hosts(2, 1, 0, 1));
   const std::size_t owner = network.OwnerOf(0);
-  network.Run(2 * kSecond);
+  network.Advance(2 * kSecond);
   network.Silence(owner);
   for (int i = 0; i < 10; ++i) {
     network.Submit(1 - owner, 200 * kSecond);
   }
-  network.Run(8 * kSecond);
+  network.Advance(8 * kSecond);
   CHECK(Placed(network) >= 1);
   CHECK(Placed(network) <= 2);
-  network.Run(100 * kSecond);
+  network.Advance(100 * kSecond);
   CHECK(Unanswered(network) == 0);
 }
 
--- a/src/dispatch/tests/network.cc
+++ b/src/dispatch/tests/network.cc
@@ -156,7 +156,7 @@
   }
 }
 
-void Network::Run(Duration length) {
+void Network::Advance(Duration length) {
   const Instant end = this->now + length;
   while (this->now < end) {
     this->now += kStep;
--- a/src/dispatch/tests/network.h
+++ b/src/dispatch/tests/network.h
@@ -52,7 +52,7 @@
   std::size_t Submit(std::size_t host, Duration runs,
                      RequestClass request_class = RequestClass::kDraft);
   /// @brief Lets virtual time pass.
-  void Run(Duration length);
+  void Advance(Duration length);
 
   /// @return streams at a worker now, and the most there ever were
   std::size_t At(const UpstreamId& worker) const;
--- a/src/entry/completion_flow.cc
+++ b/src/entry/completion_flow.cc
@@ -198,7 +198,7 @@
   Completion& completion = this->completions.at(waiting.request);
   completion.expected_wait = waiting.expected_wait;
   this->shared.requests.SetWaiting(this->shared.now, completion.id,
-                                   waiting.place, waiting.expected_wait,
+                                   waiting.position, waiting.expected_wait,
                                    waiting.reason);
 }
 
--- a/src/entry/service_flow.cc
+++ b/src/entry/service_flow.cc
@@ -246,8 +246,9 @@
     return;
   }
   request.expected_wait = waiting.expected_wait;
-  this->shared.requests.SetWaiting(this->shared.now, request.id, waiting.place,
-                                   waiting.expected_wait, waiting.reason);
+  this->shared.requests.SetWaiting(this->shared.now, request.id,
+                                   waiting.position, waiting.expected_wait,
+                                   waiting.reason);
 }
 
 // ---- Events ----
--- a/src/gateway/detail/forwarding.h
+++ b/src/gateway/detail/forwarding.h
@@ -176,7 +176,7 @@
   HostMetrics* metrics;
   LoadTable loads;
   HedgeDelays hedge_delays;
-  GuessedLengths guessed_lengths;
+  LengthHintEstimator guessed_lengths;
   Random random;
   std::map<std::string, WindowBudget> budgets;
   std::map<std::uint64_t, Forwarded> flows;
--- a/src/gateway/forwarding.cc
+++ b/src/gateway/forwarding.cc
@@ -128,7 +128,7 @@
         std::min(told.max_output_tokens.value_or(0), kMostTokens);
     const double output =
         told.expected_output_tokens.has_value()
-            ? this->guessed_lengths.Expect(
+            ? this->guessed_lengths.Estimate(
                   flow->route->name,
                   std::min(*told.expected_output_tokens, kMostTokens), most)
             : static_cast<double>(most);
