--- a/src/admission/admitter.cc
+++ b/src/admission/admitter.cc
@@ -6,16 +6,17 @@
 namespace limpetlink {
 namespace {
 
-constexpr std::uint32_t kAhead[] = {0,   32,  64,   96,   128,  192,  256, 384,
-                                    512, 768, 1024, 1536, 2048, 4096, 8192};
+constexpr std::uint32_t kHorizonTokens[] = {
+    0, 32, 64, 96, 128, 192, 256, 384, 512, 768, 1024, 1536, 2048, 4096, 8192};
 constexpr Duration kRefreshEvery = std::chrono::milliseconds(100);
-constexpr double kCorrectionGain = 0.1;   // per report
-constexpr double kUnreportedStreams = 4;  // before the first report
-constexpr double kSmallestBatch = 8;      // streams, whatever was learnt
+constexpr double kCorrectionGain = 0.1;      // per report
+constexpr double kMaxUnreportedStreams = 4;  // before the first report
+constexpr double kMinBatch = 8;              // streams, whatever was learnt
 constexpr double kPageTokens = 16;
-constexpr double kAlivePart = 0.1;
+constexpr double kMinSurvivalFraction = 0.1;
 constexpr std::int32_t kVerdictPriority = 1000;
-constexpr std::uint64_t kFirstLevel = 64;  // tokens; each level is four times
+constexpr std::uint64_t kFirstPriorityLevelTokens =
+    64;  // tokens; each level is four times
 constexpr double kUncappedBatch = 1e9;
 
 double OverflowProbability(double mean, double variance, double limit) {
@@ -33,20 +34,20 @@
   this->policy = new_policy;
 }
 
-Admitter::Moments Admitter::MomentsOf(const Demand& demand,
-                                      std::uint32_t produced) {
+Admitter::Moments Admitter::ComputeMoments(const Demand& demand,
+                                           std::uint32_t produced) {
   Moments moments;
-  const double alive = demand.lengths->Survival(produced);
+  const double survival = demand.lengths->Survival(produced);
   for (std::size_t i = 0; i < kHorizons; ++i) {
-    const std::uint32_t then = produced + kAhead[i];
-    if (then > demand.max_output_tokens) {
+    const std::uint32_t length = produced + kHorizonTokens[i];
+    if (length > demand.max_output_tokens) {
       break;
     }
-    const double goes_on = demand.lengths->Survival(then) / alive;
+    const double continuation = demand.lengths->Survival(length) / survival;
     const double tokens =
-        static_cast<double>(demand.prompt_tokens) + then + kPageTokens / 2;
-    moments.mean[i] = tokens * goes_on;
-    moments.variance[i] = tokens * tokens * goes_on * (1.0 - goes_on);
+        static_cast<double>(demand.prompt_tokens) + length + kPageTokens / 2;
+    moments.mean[i] = tokens * continuation;
+    moments.variance[i] = tokens * tokens * continuation * (1.0 - continuation);
   }
   return moments;
 }
@@ -77,20 +78,20 @@
   this->sums = {};
   this->memory_now = 0;
   for (auto& [key, stream] : this->streams) {
-    stream.moments = MomentsOf(stream.demand, stream.produced);
+    stream.moments = ComputeMoments(stream.demand, stream.produced);
     this->AddMoments(stream.moments, 1.0);
     this->memory_now += MemoryTokens(stream);
   }
 }
 
-bool Admitter::Rebuilding(Instant now) {
+bool Admitter::IsRebuilding(Instant now) {
   if (this->announced && this->reported) {
     return false;
   }
   return now < this->rebuild_until;
 }
 
-void Admitter::Rebuild(Instant until) {
+void Admitter::BeginRebuild(Instant until) {
   this->rebuild_until = until;
   this->announced = false;
   this->reported = false;
@@ -98,15 +99,17 @@
 
 bool Admitter::OverflowTooLikely(const Demand& demand, double reserve,
                                  double share) const {
-  const double limit = this->capacity * share - this->elsewhere - reserve;
+  const double limit =
+      this->capacity * share - this->unaccounted_tokens - reserve;
   if (!this->policy.risk) {
     return this->memory_now + demand.prompt_tokens > limit;
   }
-  const Moments added = MomentsOf(demand, 0);
+  const Moments added = ComputeMoments(demand, 0);
   for (std::size_t i = 0; i < kHorizons; ++i) {
     // A request is not held back for a time at which it is likely over.
-    const bool over = added.mean[i] < kAlivePart * added.mean[0];
-    if (over) {
+    const bool likely_finished =
+        added.mean[i] < kMinSurvivalFraction * added.mean[0];
+    if (likely_finished) {
       break;
     }
     const double mean = this->sums.mean[i] + added.mean[i];
@@ -123,30 +126,31 @@
   if (!this->policy.batch_cap) {
     return kUncappedBatch;
   }
-  const auto learnt =
-      this->step_fit.Reaches(ToSeconds(this->policy.step_target));
-  return learnt ? std::max(*learnt, kSmallestBatch) : kUncappedBatch;
+  const auto fitted =
+      this->step_fit.SolveForX(ToSeconds(this->policy.step_target));
+  return fitted ? std::max(*fitted, kMinBatch) : kUncappedBatch;
 }
 
-AdmissionAnswer Admitter::CheckBatch(const Demand& demand, double share) const {
+AdmissionDecision Admitter::CheckBatch(const Demand& demand,
+                                       double share) const {
   const double cap = std::max(1.0, this->BatchCap() * share);
   const auto size = static_cast<double>(this->streams.size());
   if (size + 1 > cap) {
-    return AdmissionAnswer::kBatch;
+    return AdmissionDecision::kBatch;
   }
   if (demand.request_class == RequestClass::kVerdict) {
-    return AdmissionAnswer::kAdmit;
+    return AdmissionDecision::kAdmit;
   }
   if (this->engine_waiting > 0) {
-    return AdmissionAnswer::kBatch;
+    return AdmissionDecision::kBatch;
   }
-  const double kept =
+  const double reserved =
       this->policy.headroom
-          ? this->headroom.Places(this->verdicts,
-                                  this->policy.headroom_deviations)
+          ? this->headroom.Slots(this->verdicts,
+                                 this->policy.headroom_deviations)
           : 0;
-  const bool room = size + 1 + std::min(kept, cap / 2) <= cap;
-  return room ? AdmissionAnswer::kAdmit : AdmissionAnswer::kHeadroom;
+  const bool fits = size + 1 + std::min(reserved, cap / 2) <= cap;
+  return fits ? AdmissionDecision::kAdmit : AdmissionDecision::kHeadroom;
 }
 
 bool Admitter::PrefillFull(const Demand& demand) const {
@@ -154,48 +158,48 @@
     return false;
   }
   const auto cap =
-      this->prefill_fit.Reaches(ToSeconds(this->policy.step_target));
+      this->prefill_fit.SolveForX(ToSeconds(this->policy.step_target));
   if (!cap) {
     return false;
   }
   return this->prefill + PrefillTokens(demand) > *cap;
 }
 
-AdmissionAnswer Admitter::Check(Instant now, const Demand& demand,
-                                double share) {
+AdmissionDecision Admitter::Check(Instant now, const Demand& demand,
+                                  double share) {
   const auto size = static_cast<double>(this->streams.size());
-  const bool careful = this->capacity <= 0 || this->Rebuilding(now);
-  if (careful && size >= kUnreportedStreams) {
-    return AdmissionAnswer::kRebuild;
+  const bool restricted = this->capacity <= 0 || this->IsRebuilding(now);
+  if (restricted && size >= kMaxUnreportedStreams) {
+    return AdmissionDecision::kRebuild;
   }
   if (this->capacity <= 0) {
-    return AdmissionAnswer::kAdmit;
+    return AdmissionDecision::kAdmit;
   }
   if (demand.prompt_tokens >= this->capacity) {
-    return AdmissionAnswer::kTooLong;
+    return AdmissionDecision::kTooLong;
   }
   if (this->streams.empty()) {
-    return AdmissionAnswer::kAdmit;
+    return AdmissionDecision::kAdmit;
   }
-  const AdmissionAnswer batch = this->CheckBatch(demand, share);
-  if (batch != AdmissionAnswer::kAdmit) {
+  const AdmissionDecision batch = this->CheckBatch(demand, share);
+  if (batch != AdmissionDecision::kAdmit) {
     return batch;
   }
   if (this->PrefillFull(demand)) {
-    return AdmissionAnswer::kPrefill;
+    return AdmissionDecision::kPrefill;
   }
   this->Refresh(now);
   const bool draft = demand.request_class == RequestClass::kDraft;
-  const double places =
+  const double slots =
       draft && this->policy.headroom
-          ? this->headroom.Places(this->verdicts,
-                                  this->policy.headroom_deviations)
+          ? this->headroom.Slots(this->verdicts,
+                                 this->policy.headroom_deviations)
           : 0;
   const double reserve =
-      std::min(places * this->headroom.TokensEach(), this->capacity / 2);
+      std::min(slots * this->headroom.TokensPerVerdict(), this->capacity / 2);
   return this->OverflowTooLikely(demand, reserve, share)
-             ? AdmissionAnswer::kMemory
-             : AdmissionAnswer::kAdmit;
+             ? AdmissionDecision::kMemory
+             : AdmissionDecision::kAdmit;
 }
 
 void Admitter::Add(Instant now, const StreamKey& key, const Demand& demand,
@@ -205,24 +209,25 @@
   stream.demand = demand;
   stream.produced = produced;
   stream.added = now;
-  stream.moments = MomentsOf(demand, produced);
+  stream.moments = ComputeMoments(demand, produced);
   if (produced == 0) {
     this->prefill += PrefillTokens(demand);
   }
-  stream.prefill_then = this->prefill;
+  stream.prefill_at_add = this->prefill;
   this->AddMoments(stream.moments, 1.0);
   this->memory_now += MemoryTokens(stream);
   this->verdicts += demand.request_class == RequestClass::kVerdict ? 1 : 0;
   this->streams.emplace(key, stream);
 }
 
-void Admitter::FirstToken(Instant now, const Stream& stream) {
+void Admitter::RecordFirstToken(Instant now, const Stream& stream) {
   this->prefill = std::max(0.0, this->prefill - PrefillTokens(stream.demand));
-  this->prefill_fit.Observe(stream.prefill_then, ToSeconds(now - stream.added));
+  this->prefill_fit.Observe(stream.prefill_at_add,
+                            ToSeconds(now - stream.added));
 }
 
-bool Admitter::Produced(Instant now, const StreamKey& key,
-                        std::uint32_t tokens) {
+bool Admitter::RecordProduced(Instant now, const StreamKey& key,
+                              std::uint32_t tokens) {
   const auto it = this->streams.find(key);
   if (it == this->streams.end()) {
     return false;
@@ -232,7 +237,7 @@
   }
   Stream& stream = it->second;
   if (stream.produced == 0) {
-    this->FirstToken(now, stream);
+    this->RecordFirstToken(now, stream);
   }
   stream.produced = tokens;
   return true;
@@ -256,13 +261,13 @@
 }
 
 void Admitter::RemoveHolder(const HostId& holder) {
-  std::vector<StreamKey> gone;
+  std::vector<StreamKey> removed;
   for (const auto& [key, stream] : this->streams) {
     if (key.holder == holder) {
-      gone.push_back(key);
+      removed.push_back(key);
     }
   }
-  for (const StreamKey& key : gone) {
+  for (const StreamKey& key : removed) {
     this->Remove(key);
   }
 }
@@ -274,11 +279,11 @@
   this->engine_waiting = load.waiting;
   this->refreshed = {};
   this->Refresh(now);
-  const double unexplained =
+  const double unaccounted =
       static_cast<double>(load.memory_tokens_used) - this->memory_now;
   const double gain = first ? 1.0 : kCorrectionGain;
-  this->elsewhere += gain * (unexplained - this->elsewhere);
-  this->elsewhere = std::max(this->elsewhere, 0.0);
+  this->unaccounted_tokens += gain * (unaccounted - this->unaccounted_tokens);
+  this->unaccounted_tokens = std::max(this->unaccounted_tokens, 0.0);
   if (load.running > 0 && load.step_time > Duration{0}) {
     this->step_fit.Observe(load.running, ToSeconds(load.step_time));
   }
@@ -289,20 +294,22 @@
   this->headroom.Observe(in_progress, demand.prompt_tokens + output);
 }
 
-double Admitter::Fill() const {
+double Admitter::Utilisation() const {
   const double batch =
       static_cast<double>(this->streams.size()) / this->BatchCap();
   if (this->capacity <= 0) {
-    return static_cast<double>(this->streams.size()) / kUnreportedStreams;
+    return static_cast<double>(this->streams.size()) / kMaxUnreportedStreams;
   }
-  const double memory = (this->sums.mean[0] + this->elsewhere) / this->capacity;
+  const double memory =
+      (this->sums.mean[0] + this->unaccounted_tokens) / this->capacity;
   return std::max(batch, memory);
 }
 
 std::int32_t StreamPriority(RequestClass request_class,
                             std::uint32_t produced) {
   std::int32_t level = 0;
-  for (std::uint64_t next = kFirstLevel; next <= produced; next *= 4) {
+  for (std::uint64_t next = kFirstPriorityLevelTokens; next <= produced;
+       next *= 4) {
     ++level;
   }
   const bool verdict = request_class == RequestClass::kVerdict;
--- a/src/admission/concurrency.cc
+++ b/src/admission/concurrency.cc
@@ -5,14 +5,14 @@
 namespace limpetlink {
 namespace {
 
-constexpr double kMostRequests = 4096;
+constexpr double kMaxRequests = 4096;
 constexpr double kGrowth = 1.1;  // per report
 
 }  // namespace
 
 bool ConcurrencyEstimate::Check(double share) const {
-  const double most = std::max(1.0, this->cap * share);
-  return static_cast<double>(this->running.size()) + 1 <= most;
+  const double limit = std::max(1.0, this->cap * share);
+  return static_cast<double>(this->running.size()) + 1 <= limit;
 }
 
 void ConcurrencyEstimate::RemoveHolder(const HostId& holder) {
@@ -29,7 +29,7 @@
   }
   const bool used = static_cast<double>(this->running.size()) * 2 > this->cap;
   if (used) {
-    this->cap = std::min(kMostRequests, this->cap * kGrowth + 1);
+    this->cap = std::min(kMaxRequests, this->cap * kGrowth + 1);
   }
 }
 
--- a/src/admission/detail/admitter.h
+++ b/src/admission/detail/admitter.h
@@ -38,7 +38,7 @@
 };
 
 /// @brief Whether a worker may take a request now, else what stands against it.
-enum class AdmissionAnswer {
+enum class AdmissionDecision {
   kAdmit,
   kMemory,    ///< the risk that memory overflows is too high
   kBatch,     ///< the batch is at its cap
@@ -49,15 +49,15 @@
 };
 
 template <>
-struct EnumTable<AdmissionAnswer> {
-  static constexpr EnumName<AdmissionAnswer> kRows[] = {
-      {AdmissionAnswer::kAdmit, "admit"},
-      {AdmissionAnswer::kMemory, "memory"},
-      {AdmissionAnswer::kBatch, "batch"},
-      {AdmissionAnswer::kPrefill, "prefill"},
-      {AdmissionAnswer::kHeadroom, "headroom"},
-      {AdmissionAnswer::kRebuild, "rebuild"},
-      {AdmissionAnswer::kTooLong, "too_long"}};
+struct EnumTable<AdmissionDecision> {
+  static constexpr EnumName<AdmissionDecision> kRows[] = {
+      {AdmissionDecision::kAdmit, "admit"},
+      {AdmissionDecision::kMemory, "memory"},
+      {AdmissionDecision::kBatch, "batch"},
+      {AdmissionDecision::kPrefill, "prefill"},
+      {AdmissionDecision::kHeadroom, "headroom"},
+      {AdmissionDecision::kRebuild, "rebuild"},
+      {AdmissionDecision::kTooLong, "too_long"}};
 };
 
 /// @brief Gives the priority of a stream at its engine: verdicts above drafts,
@@ -97,7 +97,7 @@
   /// @param share fraction of the worker that may be used, in (0, 1]
   /// @note Complexity: constant between refreshes (ten a second), which are
   /// linear in the worker's streams.
-  AdmissionAnswer Check(Instant now, const Demand& demand, double share);
+  AdmissionDecision Check(Instant now, const Demand& demand, double share);
 
   /// @brief Enters a stream into the account.
   /// @param produced tokens it has already produced (a re-announced stream)
@@ -107,7 +107,7 @@
   /// @brief Counts produced tokens; a number below the last one is ignored.
   /// @param tokens produced in all
   /// @return whether the stream is in the account
-  bool Produced(Instant now, const StreamKey& key, std::uint32_t tokens);
+  bool RecordProduced(Instant now, const StreamKey& key, std::uint32_t tokens);
 
   /// @brief Takes a stream out of the account.
   /// @return whether it was there
@@ -124,19 +124,21 @@
 
   /// @brief Admits with care until a report and the holders' announcements
   /// have come, at the latest until a time.
-  void Rebuild(Instant until);
+  void BeginRebuild(Instant until);
 
   /// @brief The holders' announcements have come.
-  void Announced() { this->announced = true; }
+  void MarkAnnounced() { this->announced = true; }
 
   /// @return streams in the account
   std::size_t Size() const { return this->streams.size(); }
   /// @return verdicts in the account
   std::uint32_t Verdicts() const { return this->verdicts; }
   /// @return whether a stream is in the account
-  bool Has(const StreamKey& key) const { return this->streams.count(key) != 0; }
+  bool Contains(const StreamKey& key) const {
+    return this->streams.count(key) != 0;
+  }
   /// @return fill in [0, 1] or above, the larger of memory and batch
-  double Fill() const;
+  double Utilisation() const;
   /// @return the largest number of streams at once, after what was learnt
   double BatchCap() const;
 
@@ -153,21 +155,21 @@
     Demand demand;
     std::uint32_t produced = 0;
     Instant added;
-    double prefill_then = 0;  ///< in flight when it was added, with its own
+    double prefill_at_add = 0;  ///< in flight when it was added, with its own
     Moments moments;
   };
 
-  static Moments MomentsOf(const Demand& demand, std::uint32_t produced);
+  static Moments ComputeMoments(const Demand& demand, std::uint32_t produced);
   static double PrefillTokens(const Demand& demand);
   static double MemoryTokens(const Stream& stream);
   void Refresh(Instant now);
   void AddMoments(const Moments& moments, double sign);
-  bool Rebuilding(Instant now);
+  bool IsRebuilding(Instant now);
   bool OverflowTooLikely(const Demand& demand, double reserve,
                          double share) const;
-  AdmissionAnswer CheckBatch(const Demand& demand, double share) const;
+  AdmissionDecision CheckBatch(const Demand& demand, double share) const;
   bool PrefillFull(const Demand& demand) const;
-  void FirstToken(Instant now, const Stream& stream);
+  void RecordFirstToken(Instant now, const Stream& stream);
 
   AdmissionPolicy policy;
   std::map<StreamKey, Stream> streams;
@@ -176,10 +178,11 @@
   double prefill = 0;  ///< prompt tokens admitted and not yet read
   std::uint32_t verdicts = 0;
   VerdictHeadroom headroom;
-  LineFit step_fit;      ///< step time over streams
-  LineFit prefill_fit;   ///< time to first token over prefill in flight
-  double capacity = 0;   ///< tokens; 0 before the first report
-  double elsewhere = 0;  ///< tokens used that the account does not explain
+  LinearRegression step_fit;     ///< step time over streams
+  LinearRegression prefill_fit;  ///< time to first token over prefill in flight
+  double capacity = 0;           ///< tokens; 0 before the first report
+  double unaccounted_tokens =
+      0;  ///< tokens used that the account does not explain
   std::uint32_t engine_waiting = 0;
   Instant refreshed;
   Instant rebuild_until;
--- a/src/admission/detail/concurrency.h
+++ b/src/admission/detail/concurrency.h
@@ -31,18 +31,20 @@
   void Report(std::uint32_t reported_running, std::uint32_t reported_waiting);
 
   /// @return whether a request is in the account
-  bool Has(const StreamKey& key) const { return this->running.count(key) != 0; }
+  bool Contains(const StreamKey& key) const {
+    return this->running.count(key) != 0;
+  }
 
   /// @return fill, 1 being full
-  double Fill() const {
+  double Utilisation() const {
     return static_cast<double>(this->running.size()) / this->cap;
   }
 
  private:
   std::set<StreamKey> running;
-  double cap = kStart;
+  double cap = kInitialCap;
 
-  static constexpr double kStart = 16;  // requests
+  static constexpr double kInitialCap = 16;  // requests
 };
 
 }  // namespace limpetlink
--- a/src/admission/detail/headroom.h
+++ b/src/admission/detail/headroom.h
@@ -19,16 +19,16 @@
   /// @param in_progress verdicts in progress now
   /// @param deviations how many standard deviations above the mean to cover
   /// @return places, 0 while no verdict has come
-  double Places(double in_progress, double deviations) const;
+  double Slots(double in_progress, double deviations) const;
 
   /// @return memory that one verdict needs, in tokens
-  double TokensEach() const { return this->tokens; }
+  double TokensPerVerdict() const { return this->tokens; }
 
  private:
   double mean = 0;
   double variance = 0;
   double tokens = 0;
-  bool any = false;
+  bool observed = false;
 };
 
 }  // namespace limpetlink
--- a/src/admission/detail/lengths.h
+++ b/src/admission/detail/lengths.h
@@ -31,14 +31,15 @@
 
   /// @brief Gives the share of outputs that go on for `ahead` more tokens, of
   /// those that have reached `produced`.
-  double Continues(std::uint32_t produced, std::uint32_t ahead) const {
+  double ContinuationProbability(std::uint32_t produced,
+                                 std::uint32_t ahead) const {
     return this->Survival(produced + ahead) / this->Survival(produced);
   }
 
   /// @brief Estimates the length of a whole output.
   /// @param bound the longest output possible
   /// @return expected tokens, at least 1
-  double Mean(std::uint32_t bound) const;
+  double Mean(std::uint32_t max_tokens) const;
 
   /// @return weight of the outputs observed, after decay
   double Weight() const { return this->total; }
@@ -69,16 +70,16 @@
   /// @param bound the longest output possible, tokens
   /// @return expected tokens, at least 1
   /// @note Complexity: logarithmic in the number of routes.
-  double Estimate(const std::string& route, std::uint64_t guess,
-                  std::uint64_t bound);
+  double Estimate(const std::string& route, std::uint64_t hint,
+                  std::uint64_t max_tokens);
 
  private:
-  struct Guesses {
+  struct Hints {
     double count = 0;
     double mean_log = 0;  ///< of the latest guesses
   };
 
-  std::map<std::string, Guesses> by_route;
+  std::map<std::string, Hints> by_route;
 };
 
 /// @brief What an output's length may depend on.
--- a/src/admission/detail/queue.h
+++ b/src/admission/detail/queue.h
@@ -24,7 +24,7 @@
   void Observe(Instant now);
 
   /// @brief Starts a busy time: the queue was empty before.
-  void Begin(Instant now);
+  void BeginBusyPeriod(Instant now);
 
   /// @return departures a second; 0 while unknown
   double PerSecond(Instant now) const;
@@ -52,13 +52,13 @@
   std::vector<OrganisationId> Organisations() const;
 
   /// @return the first in an organisation's line, or nothing
-  std::optional<Ticket> Head(const OrganisationId& organisation) const;
+  std::optional<Ticket> Front(const OrganisationId& organisation) const;
 
   /// @return requests waiting
   std::size_t Size() const { return this->size; }
 
   /// @return requests of an organisation waiting
-  std::size_t Line(const OrganisationId& organisation) const;
+  std::size_t QueueLength(const OrganisationId& organisation) const;
 
   /// @return how many stand before a request in its organisation's line; the
   /// line's length for one that is not there
@@ -66,14 +66,14 @@
   std::size_t Position(const OrganisationId& organisation, Ticket ticket) const;
 
   /// @return organisations with someone waiting
-  std::size_t Lines() const { return this->lines.size(); }
+  std::size_t OrganisationCount() const { return this->queues.size(); }
 
   /// @brief Estimates how long a request waits that has `ahead` before it.
   /// @return the estimate, or nothing while no drain rate is known
   std::optional<Duration> ExpectedWait(Instant now, std::size_t ahead) const;
 
  private:
-  std::map<OrganisationId, std::deque<Ticket>> lines;
+  std::map<OrganisationId, std::deque<Ticket>> queues;
   std::size_t size = 0;
   DrainRate drain;
 };
--- a/src/admission/detail/regression.h
+++ b/src/admission/detail/regression.h
@@ -7,7 +7,7 @@
 namespace limpetlink {
 
 /// @brief Least squares fit of y = intercept + slope * x over recent points.
-class LineFit {
+class LinearRegression {
  public:
   /// @brief Adds a point; older points lose weight.
   void Observe(double x, double y);
@@ -15,7 +15,7 @@
   /// @brief Finds the x at which the line reaches a value.
   /// @param y the value
   /// @return x, or nothing while the points do not fix a rising line
-  std::optional<double> Reaches(double y) const;
+  std::optional<double> SolveForX(double y) const;
 
  private:
   double weight = 0;
--- a/src/admission/headroom.cc
+++ b/src/admission/headroom.cc
@@ -11,8 +11,8 @@
 }  // namespace
 
 void VerdictHeadroom::Observe(double in_progress, double tokens) {
-  if (!this->any) {
-    this->any = true;
+  if (!this->observed) {
+    this->observed = true;
     this->mean = in_progress;
     this->tokens = tokens;
     this->variance = in_progress;
@@ -24,13 +24,13 @@
   this->tokens += kGain * (tokens - this->tokens);
 }
 
-double VerdictHeadroom::Places(double in_progress, double deviations) const {
-  if (!this->any) {
+double VerdictHeadroom::Slots(double in_progress, double deviations) const {
+  if (!this->observed) {
     return 0;
   }
-  const double spread = std::sqrt(std::max(this->variance, this->mean));
-  const double wanted = this->mean + deviations * spread;
-  return std::max(0.0, wanted - in_progress);
+  const double deviation = std::sqrt(std::max(this->variance, this->mean));
+  const double target = this->mean + deviations * deviation;
+  return std::max(0.0, target - in_progress);
 }
 
 }  // namespace limpetlink
--- a/src/admission/lengths.cc
+++ b/src/admission/lengths.cc
@@ -9,14 +9,14 @@
 constexpr double kDecay = 1.0 - 1.0 / 1024;  // per observed output
 constexpr double kPriorWeight = 2.0;         // outputs
 constexpr double kPriorTokens = 128.0;       // the prior falls beyond this
-constexpr double kEnoughOutputs = 32.0;
+constexpr double kMinOutputs = 32.0;
 constexpr std::size_t kMaxKeys = 8192;
 // Part of a guess's distance from the usual one that is believed: guesses
 // scatter about one and a half times as widely as lengths do.
-constexpr double kGuessTrust = 0.33;
+constexpr double kHintWeight = 0.33;
 // Mean over median of lengths that scatter by a factor of two.
 constexpr double kMeanOverMedian = 1.25;
-constexpr double kMostGuesses = 200.0;  // older ones lose weight
+constexpr double kMaxHints = 200.0;  // older ones lose weight
 
 }  // namespace
 
@@ -66,35 +66,36 @@
   return (seen + kPriorWeight * Prior(value)) / (this->total + kPriorWeight);
 }
 
-double LengthHistogram::Mean(std::uint32_t bound) const {
+double LengthHistogram::Mean(std::uint32_t max_tokens) const {
   double mean = 0;
-  double before = 0;
-  for (std::size_t i = 0; i < kBuckets && before < bound; ++i) {
-    const double edge = std::min<double>(LowerEdge(i + 1), bound);
-    const auto middle = static_cast<std::uint32_t>((before + edge) / 2);
-    mean += (edge - before) * this->Survival(middle);
-    before = edge;
+  double lower = 0;
+  for (std::size_t i = 0; i < kBuckets && lower < max_tokens; ++i) {
+    const double upper = std::min<double>(LowerEdge(i + 1), max_tokens);
+    const auto middle = static_cast<std::uint32_t>((lower + upper) / 2);
+    mean += (upper - lower) * this->Survival(middle);
+    lower = upper;
   }
   return std::max(mean, 1.0);
 }
 
 double LengthHintEstimator::Estimate(const std::string& route,
-                                     std::uint64_t guess, std::uint64_t bound) {
-  const double log_guess =
-      std::log(static_cast<double>(std::max<std::uint64_t>(guess, 1)));
-  const auto most =
-      static_cast<double>(std::max<std::uint64_t>({bound, guess, 1}));
-  const bool room = this->by_route.size() < kMaxKeys;
+                                     std::uint64_t hint,
+                                     std::uint64_t max_tokens) {
+  const double log_hint =
+      std::log(static_cast<double>(std::max<std::uint64_t>(hint, 1)));
+  const auto limit =
+      static_cast<double>(std::max<std::uint64_t>({max_tokens, hint, 1}));
+  const bool has_capacity = this->by_route.size() < kMaxKeys;
   const auto found = this->by_route.find(route);
-  if (found == this->by_route.end() && !room) {
-    return std::exp(log_guess);
+  if (found == this->by_route.end() && !has_capacity) {
+    return std::exp(log_hint);
   }
-  Guesses& guesses = this->by_route[route];
-  guesses.count = std::min(guesses.count + 1.0, kMostGuesses);
-  guesses.mean_log += (log_guess - guesses.mean_log) / guesses.count;
-  const double drawn =
-      guesses.mean_log + kGuessTrust * (log_guess - guesses.mean_log);
-  return std::clamp(kMeanOverMedian * std::exp(drawn), 1.0, most);
+  Hints& hints = this->by_route[route];
+  hints.count = std::min(hints.count + 1.0, kMaxHints);
+  hints.mean_log += (log_hint - hints.mean_log) / hints.count;
+  const double shrunk =
+      hints.mean_log + kHintWeight * (log_hint - hints.mean_log);
+  return std::clamp(kMeanOverMedian * std::exp(shrunk), 1.0, limit);
 }
 
 void LengthModel::Observe(const LengthKey& key, std::uint32_t tokens) {
@@ -116,7 +117,7 @@
   for (const LengthKey& each : keys) {
     const auto it = this->histograms.find(each);
     const bool enough =
-        it != this->histograms.end() && it->second.Weight() >= kEnoughOutputs;
+        it != this->histograms.end() && it->second.Weight() >= kMinOutputs;
     if (enough) {
       return it->second;
     }
--- a/src/admission/policy.cc
+++ b/src/admission/policy.cc
@@ -15,7 +15,7 @@
 constexpr double kHeadroomAt0 = 1.0;
 constexpr double kHeadroomAt1 = 4.0;
 
-double Between(double at0, double at1, double weight) {
+double Interpolate(double at0, double at1, double weight) {
   return at0 * std::pow(at1 / at0, weight);
 }
 
@@ -23,11 +23,12 @@
 
 AdmissionPolicy MakeAdmissionPolicy(const Weights& weights) {
   AdmissionPolicy policy;
-  policy.overflow_risk = Between(kRiskAt0, kRiskAt1, weights.preemption);
-  policy.step_target = FromSeconds(Between(kStepAt0, kStepAt1, weights.tail));
-  policy.max_wait = FromSeconds(Between(kWaitAt0, kWaitAt1, weights.stall));
+  policy.overflow_risk = Interpolate(kRiskAt0, kRiskAt1, weights.preemption);
+  policy.step_target =
+      FromSeconds(Interpolate(kStepAt0, kStepAt1, weights.tail));
+  policy.max_wait = FromSeconds(Interpolate(kWaitAt0, kWaitAt1, weights.stall));
   policy.headroom_deviations =
-      Between(kHeadroomAt0, kHeadroomAt1, weights.stall);
+      Interpolate(kHeadroomAt0, kHeadroomAt1, weights.stall);
   return policy;
 }
 
--- a/src/admission/queue.cc
+++ b/src/admission/queue.cc
@@ -6,44 +6,45 @@
 namespace limpetlink {
 namespace {
 
-constexpr double kMemorySeconds = 10.0;  // of busy time that the rate covers
-constexpr double kEnoughSeconds = 1.0;
+constexpr double kTimeConstantSeconds =
+    10.0;  // of busy time that the rate covers
+constexpr double kMinObservedSeconds = 1.0;
 
 }  // namespace
 
-void DrainRate::Begin(Instant now) { this->last = now; }
+void DrainRate::BeginBusyPeriod(Instant now) { this->last = now; }
 
 void DrainRate::Observe(Instant now) {
-  const double passed = ToSeconds(now - this->last);
-  const double keep = std::exp(-passed / kMemorySeconds);
-  this->count = this->count * keep + 1.0;
-  this->seconds = this->seconds * keep + passed;
+  const double elapsed = ToSeconds(now - this->last);
+  const double decay = std::exp(-elapsed / kTimeConstantSeconds);
+  this->count = this->count * decay + 1.0;
+  this->seconds = this->seconds * decay + elapsed;
   this->last = now;
 }
 
 double DrainRate::PerSecond(Instant now) const {
-  const double passed = ToSeconds(now - this->last);
-  const double keep = std::exp(-passed / kMemorySeconds);
-  const double busy = this->seconds * keep + passed;
-  return busy < kEnoughSeconds ? 0.0 : this->count * keep / busy;
+  const double elapsed = ToSeconds(now - this->last);
+  const double decay = std::exp(-elapsed / kTimeConstantSeconds);
+  const double busy = this->seconds * decay + elapsed;
+  return busy < kMinObservedSeconds ? 0.0 : this->count * decay / busy;
 }
 
 void WaitQueue::Push(Instant now, const OrganisationId& organisation,
                      Ticket ticket) {
   if (this->size == 0) {
-    this->drain.Begin(now);
+    this->drain.BeginBusyPeriod(now);
   }
-  this->lines[organisation].push_back(ticket);
+  this->queues[organisation].push_back(ticket);
   ++this->size;
 }
 
 bool WaitQueue::Erase(Instant now, const OrganisationId& organisation,
                       Ticket ticket, bool served) {
-  const auto line = this->lines.find(organisation);
-  if (line == this->lines.end()) {
+  const auto queue = this->queues.find(organisation);
+  if (queue == this->queues.end()) {
     return false;
   }
-  auto& requests = line->second;
+  auto& requests = queue->second;
   const auto it = std::find(requests.begin(), requests.end(), ticket);
   if (it == requests.end()) {
     return false;
@@ -51,7 +52,7 @@
   requests.erase(it);
   --this->size;
   if (requests.empty()) {
-    this->lines.erase(line);
+    this->queues.erase(queue);
   }
   if (served) {
     this->drain.Observe(now);
@@ -61,31 +62,31 @@
 
 std::vector<OrganisationId> WaitQueue::Organisations() const {
   std::vector<OrganisationId> result;
-  for (const auto& [organisation, line] : this->lines) {
+  for (const auto& [organisation, queue] : this->queues) {
     result.push_back(organisation);
   }
   return result;
 }
 
-std::optional<Ticket> WaitQueue::Head(
+std::optional<Ticket> WaitQueue::Front(
     const OrganisationId& organisation) const {
-  const auto line = this->lines.find(organisation);
-  return line == this->lines.end() ? std::nullopt
-                                   : std::optional(line->second.front());
+  const auto queue = this->queues.find(organisation);
+  return queue == this->queues.end() ? std::nullopt
+                                     : std::optional(queue->second.front());
 }
 
-std::size_t WaitQueue::Line(const OrganisationId& organisation) const {
-  const auto line = this->lines.find(organisation);
-  return line == this->lines.end() ? 0 : line->second.size();
+std::size_t WaitQueue::QueueLength(const OrganisationId& organisation) const {
+  const auto queue = this->queues.find(organisation);
+  return queue == this->queues.end() ? 0 : queue->second.size();
 }
 
 std::size_t WaitQueue::Position(const OrganisationId& organisation,
                                 Ticket ticket) const {
-  const auto line = this->lines.find(organisation);
-  if (line == this->lines.end()) {
+  const auto queue = this->queues.find(organisation);
+  if (queue == this->queues.end()) {
     return 0;
   }
-  const auto& requests = line->second;
+  const auto& requests = queue->second;
   const auto it = std::find(requests.begin(), requests.end(), ticket);
   return static_cast<std::size_t>(it - requests.begin());
 }
--- a/src/admission/tests/admitter_test.cc
+++ b/src/admission/tests/admitter_test.cc
@@ -24,12 +24,12 @@
  protected:
   StreamKey Key(std::uint64_t id) { return {HostId{"a"}, Ticket{id}}; }
 
-  std::uint64_t Fill(Admitter& admitter) {
+  std::uint64_t FillWithStreams(Admitter& admitter) {
     std::uint64_t count = 0;
     while (admitter.Check(At(0), this->demand, 1.0) ==
-           AdmissionAnswer::kAdmit) {
+           AdmissionDecision::kAdmit) {
       admitter.Add(At(0), this->Key(++count), this->demand, 0);
-      admitter.Produced(At(0), this->Key(count), 1);
+      admitter.RecordProduced(At(0), this->Key(count), 1);
     }
     return count;
   }
@@ -44,30 +44,31 @@
                  "[admission]") {
   Admitter admitter(MakeAdmissionPolicy({0.5, 0.5, 0.5}));
   admitter.Report(At(0), this->load);
-  const std::uint64_t count = this->Fill(admitter);
+  const std::uint64_t count = this->FillWithStreams(admitter);
   CHECK(count >= 8);   // the worst case would admit one
   CHECK(count <= 13);  // current use would admit sixty
   SECTION("an end makes room again") {
     CHECK(admitter.Remove(this->Key(1)));
-    CHECK(admitter.Check(At(0), this->demand, 1.0) == AdmissionAnswer::kAdmit);
+    CHECK(admitter.Check(At(0), this->demand, 1.0) ==
+          AdmissionDecision::kAdmit);
   }
 }
 
 TEST_CASE_METHOD(AdmitterFixture,
                  "admitter, preemption weighs more, admits fewer",
                  "[admission]") {
-  Admitter careful(MakeAdmissionPolicy({0.5, 1.0, 0.5}));
+  Admitter restricted(MakeAdmissionPolicy({0.5, 1.0, 0.5}));
   Admitter bold(MakeAdmissionPolicy({0.5, 0.0, 0.5}));
-  careful.Report(At(0), this->load);
+  restricted.Report(At(0), this->load);
   bold.Report(At(0), this->load);
-  CHECK(this->Fill(careful) < this->Fill(bold));
+  CHECK(this->FillWithStreams(restricted) < this->FillWithStreams(bold));
 }
 
 TEST_CASE_METHOD(AdmitterFixture,
                  "admitter, no report yet, admits a few streams only",
                  "[admission]") {
   Admitter admitter(MakeAdmissionPolicy({}));
-  CHECK(this->Fill(admitter) == 4);
+  CHECK(this->FillWithStreams(admitter) == 4);
 }
 
 TEST_CASE_METHOD(AdmitterFixture,
@@ -80,9 +81,9 @@
   for (int i = 0; i < 100; ++i) {
     admitter.ObserveVerdict(verdict, 1);
   }
-  this->Fill(admitter);
-  CHECK(admitter.Check(At(0), this->demand, 1.0) != AdmissionAnswer::kAdmit);
-  CHECK(admitter.Check(At(0), verdict, 1.0) == AdmissionAnswer::kAdmit);
+  this->FillWithStreams(admitter);
+  CHECK(admitter.Check(At(0), this->demand, 1.0) != AdmissionDecision::kAdmit);
+  CHECK(admitter.Check(At(0), verdict, 1.0) == AdmissionDecision::kAdmit);
 }
 
 TEST_CASE_METHOD(AdmitterFixture,
@@ -92,7 +93,7 @@
   admitter.Report(At(0), this->load);
   for (std::uint64_t i = 1; i <= 13; ++i) {
     admitter.Add(At(0), this->Key(i), this->demand, 0);
-    admitter.Produced(At(0), this->Key(i), 1);
+    admitter.RecordProduced(At(0), this->Key(i), 1);
   }
   LengthHistogram short_lengths;
   for (int i = 0; i < 200; ++i) {
@@ -101,8 +102,8 @@
   Demand verdict = this->demand;
   verdict.request_class = RequestClass::kVerdict;
   verdict.lengths = &short_lengths;
-  CHECK(admitter.Check(At(0), this->demand, 1.0) == AdmissionAnswer::kMemory);
-  CHECK(admitter.Check(At(0), verdict, 1.0) == AdmissionAnswer::kAdmit);
+  CHECK(admitter.Check(At(0), this->demand, 1.0) == AdmissionDecision::kMemory);
+  CHECK(admitter.Check(At(0), verdict, 1.0) == AdmissionDecision::kAdmit);
 }
 
 TEST_CASE("stream priority, tokens are produced, never falls", "[admission]") {
@@ -133,8 +134,8 @@
   for (std::uint32_t i = 0; i < 500; ++i) {
     lengths.Observe(i % 10 == 0 ? 8000 : 50);
   }
-  CHECK(lengths.Continues(1, 1000) < 0.2);
-  CHECK(lengths.Continues(200, 1000) > 0.8);
+  CHECK(lengths.ContinuationProbability(1, 1000) < 0.2);
+  CHECK(lengths.ContinuationProbability(200, 1000) > 0.8);
 }
 
 }  // namespace
--- a/src/admission/tests/lengths_test.cc
+++ b/src/admission/tests/lengths_test.cc
@@ -27,17 +27,17 @@
   Random random(7);
   LengthHintEstimator lengths;
   double expected = 0;
-  double guessed = 0;
+  double hinted = 0;
   double actual = 0;
   for (int i = 0; i < 400; ++i) {
     const double length = kMedian * std::exp(0.8 * Deviate(&random));
-    const double guess = length * std::exp(1.2 * Deviate(&random));
+    const double hint = length * std::exp(1.2 * Deviate(&random));
     expected += lengths.Estimate(
-        "draft", static_cast<std::uint64_t>(std::lround(guess)), kBound);
-    guessed += guess;
+        "draft", static_cast<std::uint64_t>(std::lround(hint)), kBound);
+    hinted += hint;
     actual += length;
   }
-  CHECK(guessed > 1.6 * actual);
+  CHECK(hinted > 1.6 * actual);
   CHECK(expected > 0.85 * actual);
   CHECK(expected < 1.2 * actual);
 }
--- a/src/dispatch/core.cc
+++ b/src/dispatch/core.cc
@@ -6,14 +6,14 @@
 namespace {
 
 constexpr std::size_t kMaxWaiting = 1024;  // requests of one target
-constexpr Duration kNoUpstreamRetry = std::chrono::seconds(2);
-constexpr Duration kFullRetry = std::chrono::seconds(5);
-constexpr Duration kShortestRetry = std::chrono::seconds(1);
-constexpr Duration kTickEvery = std::chrono::milliseconds(50);
-constexpr Duration kSnapshotEvery = std::chrono::seconds(4);
-constexpr Duration kWantsEvery = std::chrono::seconds(3);
-constexpr Duration kIdleTick = std::chrono::seconds(1);
-constexpr std::uint32_t kDefaultMaxOutput = 32768;  // tokens
+constexpr Duration kNoUpstreamRetryAfter = std::chrono::seconds(2);
+constexpr Duration kQueueFullRetryAfter = std::chrono::seconds(5);
+constexpr Duration kMinRetryAfter = std::chrono::seconds(1);
+constexpr Duration kTickInterval = std::chrono::milliseconds(50);
+constexpr Duration kSnapshotInterval = std::chrono::seconds(4);
+constexpr Duration kLimitRequestInterval = std::chrono::seconds(3);
+constexpr Duration kIdleTickInterval = std::chrono::seconds(1);
+constexpr std::uint32_t kDefaultMaxOutputTokens = 32768;  // tokens
 
 }  // namespace
 
@@ -40,9 +40,10 @@
     waiting = waiting || queue.Size() > 0;
   }
   if (waiting) {
-    return this->ticked + kTickEvery;
+    return this->last_tick + kTickInterval;
   }
-  return this->hosts.live.size() > 1 ? this->ticked + kIdleTick : kNever;
+  return this->hosts.live.size() > 1 ? this->last_tick + kIdleTickInterval
+                                     : kNever;
 }
 
 std::optional<Duration> DispatchCore::HedgeDelay(
@@ -51,11 +52,11 @@
 }
 
 std::vector<UpstreamId> DispatchCore::OwnedWorkers() const {
-  return this->workers.AllMine();
+  return this->workers.OwnedWorkers();
 }
 
 void DispatchCore::On(const Configure& message) {
-  const auto before = this->Owners();
+  const auto previous_owners = this->Owners();
   this->document = message.document;
   this->policy = MakeAdmissionPolicy(this->document->weights);
   if (this->settings.adjust_policy) {
@@ -72,13 +73,13 @@
   }
   this->IndexNames();
   this->directory.Index(*this->document, this->workers, this->router);
-  this->MoveAccounts(before);
+  this->TransferOwnership(previous_owners);
   this->DrainAll();
 }
 
 void DispatchCore::On(const SetHosts& message) {
-  const auto before = this->Owners();
-  const std::vector<HostId> were = this->hosts.live;
+  const auto previous_owners = this->Owners();
+  const std::vector<HostId> previous_live = this->hosts.live;
   this->hosts.live = message.live;
   this->hosts.domains.clear();
   const std::size_t known =
@@ -86,10 +87,10 @@
   for (std::size_t i = 0; i < known; ++i) {
     this->hosts.domains[message.live[i]] = message.failure_domains[i];
   }
-  for (const HostId& host : were) {
+  for (const HostId& host : previous_live) {
     const auto& live = this->hosts.live;
     if (std::find(live.begin(), live.end(), host) == live.end()) {
-      this->DropHolder(host);
+      this->RemoveHolder(host);
     }
   }
   this->workers.SetHosts(this->now, this->hosts);
@@ -97,17 +98,17 @@
   if (this->document) {
     this->directory.Index(*this->document, this->workers, this->router);
   }
-  this->MoveAccounts(before);
+  this->TransferOwnership(previous_owners);
   this->DrainAll();
 }
 
-std::optional<Problem> DispatchCore::WhyNot(const SubmitRequest& message) {
+std::optional<Problem> DispatchCore::Validate(const SubmitRequest& message) {
   const Outcome outcome = message.is_retry || message.produced_tokens > 0
                               ? Outcome::kUnknown
                               : Outcome::kNotRun;
   if (!this->document) {
     return Problem{ErrorCode::kFleetNotReady, outcome,
-                   "no fleet document is in force here", kShortestRetry};
+                   "no fleet document is in force here", kMinRetryAfter};
   }
   if (message.deadline <= this->now) {
     return Problem{ErrorCode::kRequestDeadlinePast,
@@ -115,36 +116,36 @@
                    "the deadline was past on arrival",
                    {}};
   }
-  const auto& everyone = this->router.WorkersOf(message.target);
-  if (!this->router.AnyOpen(this->now, everyone, message.excluded)) {
+  const auto& all_workers = this->router.WorkersOf(message.target);
+  if (!this->router.AnyOpen(this->now, all_workers, message.excluded)) {
     return Problem{ErrorCode::kRoutingNoUpstream, outcome,
                    "no worker of " + message.target + " takes new work",
-                   kNoUpstreamRetry};
+                   kNoUpstreamRetryAfter};
   }
   const WaitQueue& queue =
       this->queues[message.target].Of(message.request_class);
   if (queue.Size() >= kMaxWaiting) {
-    return Problem{
-        ErrorCode::kAdmissionQueueFull, outcome,
-        "too many requests wait for " + message.target,
-        queue.ExpectedWait(this->now, queue.Size()).value_or(kFullRetry)};
+    return Problem{ErrorCode::kAdmissionQueueFull, outcome,
+                   "too many requests wait for " + message.target,
+                   queue.ExpectedWait(this->now, queue.Size())
+                       .value_or(kQueueFullRetryAfter)};
   }
   if (message.is_retry && !this->retries.Spend()) {
     return Problem{ErrorCode::kRetriesExhausted, outcome,
-                   "the retry budget is spent", kShortestRetry};
+                   "the retry budget is spent", kMinRetryAfter};
   }
-  const LimitAnswer answer =
+  const LimitAnswer decision =
       this->limits.Begin(this->now, message.organisation, message.is_retry);
-  if (answer == LimitAnswer::kWithin) {
+  if (decision == LimitAnswer::kWithin) {
     return std::nullopt;
   }
-  const bool rate = answer == LimitAnswer::kRate;
+  const bool rate = decision == LimitAnswer::kRate;
   return Problem{
       rate ? ErrorCode::kLimitsRate : ErrorCode::kLimitsConcurrency, outcome,
       rate ? "the organisation's rate is reached"
            : "the organisation's concurrency is reached",
-      std::max(kShortestRetry, this->limits.RetryAfter(
-                                   this->now, message.organisation, answer))};
+      std::max(kMinRetryAfter, this->limits.RetryAfter(
+                                   this->now, message.organisation, decision))};
 }
 
 Entry& DispatchCore::NewEntry(const SubmitRequest& message,
@@ -165,11 +166,11 @@
   entry.demand.prompt_tokens = message.prompt_tokens;
   entry.demand.max_output_tokens = message.max_output_tokens > 0
                                        ? message.max_output_tokens
-                                       : kDefaultMaxOutput;
+                                       : kDefaultMaxOutputTokens;
   entry.demand.lengths = &this->lengths.Find(entry.length_key);
   entry.arrived = this->now;
   entry.refreshed = this->now;
-  entry.told = this->now;
+  entry.last_reported = this->now;
   return entry;
 }
 
@@ -181,7 +182,7 @@
                                  static_cast<double>(queue.verdicts.Size()));
   }
   WaitQueue& waiting = queue.Of(submit.request_class);
-  if (waiting.Line(submit.organisation) == 0) {
+  if (waiting.QueueLength(submit.organisation) == 0) {
     this->fair[submit.target].Wake(submit.organisation,
                                    waiting.Organisations());
   }
@@ -189,7 +190,7 @@
 }
 
 void DispatchCore::On(const SubmitRequest& message) {
-  const auto problem = this->WhyNot(message);
+  const auto problem = this->Validate(message);
   if (problem) {
     this->actions.emplace_back(Refuse{message.request, *problem});
     return;
@@ -204,7 +205,7 @@
   this->Drain(message.target);
   const auto it = this->entries.find(ticket);
   if (it != this->entries.end() && !it->second.placed) {
-    this->JudgeArrival(it->second);
+    this->EvaluateArrival(it->second);
   }
 }
 
@@ -220,7 +221,8 @@
   const bool first = entry.tokens == 0;
   entry.tokens = message.tokens;
   if (entry.owner == this->settings.self) {
-    this->workers.Produced(this->now, entry.worker, entry.key, entry.tokens);
+    this->workers.RecordProduced(this->now, entry.worker, entry.key,
+                                 entry.tokens);
   }
   const std::int32_t priority =
       StreamPriority(entry.submit.request_class, entry.tokens);
@@ -244,19 +246,19 @@
   if (entry.placed) {
     this->EndPlaced(entry, message);
   } else {
-    this->WithdrawAsk(entry);
+    this->WithdrawReservation(entry);
     this->Dequeue(entry, false);
   }
-  this->Forget(entry.ticket);
+  this->RemoveEntry(entry.ticket);
   this->Drain(target);
 }
 
 void DispatchCore::EndPlaced(Entry& entry, const ReportEnded& message) {
   if (entry.owner == this->settings.self) {
     this->workers.Remove(entry.worker, entry.key);
-    this->NoteEnd(entry.worker, message.end);
+    this->RecordEnd(entry.worker, message.end);
   } else {
-    this->NoteEnd(entry.worker, message.end);
+    this->RecordEnd(entry.worker, message.end);
     this->Send(entry.owner,
                PeerRelease{entry.key.ticket, message.end, message.tokens});
     if (entry.unreserved) {
@@ -268,7 +270,7 @@
                             : 1;
   this->fair[entry.submit.target].Charge(entry.submit.organisation,
                                          actual - entry.charged);
-  this->Learn(entry.length_key, message.end, message.tokens);
+  this->ObserveLength(entry.length_key, message.end, message.tokens);
   const bool lookup = message.end == PlacementEnd::kFinished &&
                       entry.submit.idempotent && message.tokens == 0;
   if (lookup) {
@@ -277,14 +279,14 @@
   }
 }
 
-void DispatchCore::Learn(const LengthKey& key, PlacementEnd end,
-                         std::uint32_t tokens) {
+void DispatchCore::ObserveLength(const LengthKey& key, PlacementEnd end,
+                                 std::uint32_t tokens) {
   if (end == PlacementEnd::kFinished && tokens > 0) {
     this->lengths.Observe(key, tokens);
   }
 }
 
-void DispatchCore::NoteEnd(const UpstreamId& worker, PlacementEnd end) {
+void DispatchCore::RecordEnd(const UpstreamId& worker, PlacementEnd end) {
   if (this->workers.Find(worker) == nullptr) {
     return;
   }
@@ -320,18 +322,18 @@
   const bool repeated =
       entry.submit.is_retry || entry.submit.produced_tokens > 0;
   if (retry_after) {
-    retry_after = std::max(*retry_after, kShortestRetry);
+    retry_after = std::max(*retry_after, kMinRetryAfter);
   }
   this->actions.emplace_back(
       Refuse{entry.submit.request,
              {code, repeated ? Outcome::kUnknown : Outcome::kNotRun,
               std::string(detail), retry_after}});
-  this->WithdrawAsk(entry);
+  this->WithdrawReservation(entry);
   this->Dequeue(entry, false);
-  this->Forget(entry.ticket);
+  this->RemoveEntry(entry.ticket);
 }
 
-void DispatchCore::Forget(Ticket ticket) {
+void DispatchCore::RemoveEntry(Ticket ticket) {
   const auto it = this->entries.find(ticket);
   if (it == this->entries.end()) {
     return;
@@ -341,7 +343,7 @@
     this->limits.End(entry.submit.organisation, this->now - entry.arrived);
     this->tickets.erase(entry.submit.request);
   } else {
-    this->asked_here.erase(entry.key);
+    this->remote_waiting.erase(entry.key);
   }
   this->entries.erase(it);
 }
@@ -371,7 +373,7 @@
       health.Listed(this->now);
       break;
     case WorkerState::kLeaving:
-    case WorkerState::kGone:
+    case WorkerState::kTerminated:
       health.Leaving(this->now, true);
       break;
   }
@@ -386,20 +388,20 @@
 }
 
 void DispatchCore::On(const DispatchTick& /*message*/) {
-  this->ticked = this->now;
+  this->last_tick = this->now;
   this->DrainAll();
-  this->Review();
+  this->ReevaluateWaiting();
   if (this->hosts.live.size() < 2) {
     return;
   }
-  if (this->now - this->snapshots_sent >= kSnapshotEvery) {
-    this->snapshots_sent = this->now;
+  if (this->now - this->last_snapshots >= kSnapshotInterval) {
+    this->last_snapshots = this->now;
     this->SendSnapshots();
     this->ExpireGrants();
   }
-  if (this->now - this->wants_sent >= kWantsEvery) {
-    this->wants_sent = this->now;
-    this->SendWants();
+  if (this->now - this->last_limit_requests >= kLimitRequestInterval) {
+    this->last_limit_requests = this->now;
+    this->SendLimitRequests();
   }
 }
 
--- a/src/dispatch/core_drain.cc
+++ b/src/dispatch/core_drain.cc
@@ -6,7 +6,7 @@
 namespace {
 
 // When the first in line does not fit, this many organisations are looked at.
-constexpr std::size_t kTriedOrganisations = 2;
+constexpr std::size_t kMaxOrganisationsTried = 2;
 
 }  // namespace
 
@@ -41,10 +41,10 @@
   const auto order = this->fair[target].Order(queue.Organisations());
   std::size_t tried = 0;
   for (const OrganisationId& organisation : order) {
-    if (++tried > kTriedOrganisations) {
+    if (++tried > kMaxOrganisationsTried) {
       return false;
     }
-    const auto head = queue.Head(organisation);
+    const auto head = queue.Front(organisation);
     if (head && this->TryPlace(this->entries.at(*head))) {
       return true;
     }
@@ -54,38 +54,38 @@
 
 bool DispatchCore::TryPlace(Entry& entry) {
   const SubmitRequest& submit = entry.submit;
-  const auto& mine = this->workers.MineOf(submit.target);
+  const auto& owned = this->workers.OwnedWorkersOf(submit.target);
   const auto ranked = this->router.Rank(
-      this->now, mine, submit.prefix_blocks, submit.excluded,
-      [this](const UpstreamId& id) { return this->workers.Fill(id); });
+      this->now, owned, submit.prefix_blocks, submit.excluded,
+      [this](const UpstreamId& id) { return this->workers.Utilisation(id); });
   std::size_t too_long = 0;
   for (const RankedWorker& candidate : ranked) {
     entry.demand.cached_tokens = candidate.cached_tokens;
-    const AdmissionAnswer answer = this->workers.Check(
+    const AdmissionDecision decision = this->workers.Check(
         this->now, candidate.worker, entry.demand, candidate.share);
-    if (answer == AdmissionAnswer::kAdmit) {
-      this->PlaceHere(entry, candidate.worker);
+    if (decision == AdmissionDecision::kAdmit) {
+      this->PlaceLocally(entry, candidate.worker);
       return true;
     }
-    too_long += answer == AdmissionAnswer::kTooLong ? 1 : 0;
+    too_long += decision == AdmissionDecision::kTooLong ? 1 : 0;
   }
-  const bool never = too_long > 0 && too_long == ranked.size() &&
-                     entry.key.holder == this->settings.self;
-  if (never) {
+  const bool never_fits = too_long > 0 && too_long == ranked.size() &&
+                          entry.key.holder == this->settings.self;
+  if (never_fits) {
     this->RefuseEntry(entry, ErrorCode::kAdmissionTooLongForModel,
                       "the prompt is longer than a worker's memory", {});
   }
-  return never;
+  return never_fits;
 }
 
-void DispatchCore::PlaceHere(Entry& entry, const UpstreamId& worker) {
+void DispatchCore::PlaceLocally(Entry& entry, const UpstreamId& worker) {
   this->Dequeue(entry, true);
   this->workers.Add(this->now, worker, entry.key, entry.demand, 0);
   entry.charged = this->ChargeFor(entry);
   this->fair[entry.submit.target].Charge(entry.submit.organisation,
                                          entry.charged);
   if (entry.key.holder == this->settings.self) {
-    this->WithdrawAsk(entry);
+    this->WithdrawReservation(entry);
     this->MarkPlaced(entry, worker, this->settings.self);
   } else {
     this->GrantEntry(entry, worker);
--- a/src/dispatch/core_grant.cc
+++ b/src/dispatch/core_grant.cc
@@ -6,7 +6,7 @@
 namespace {
 
 // Two snapshots may be lost before a placement is taken out of the account.
-constexpr Duration kGrantExpires = std::chrono::seconds(13);
+constexpr Duration kGrantLifetime = std::chrono::seconds(13);
 
 }  // namespace
 
@@ -17,7 +17,7 @@
   }
   const auto known = this->epochs.find(message.from);
   if (known != this->epochs.end() && known->second != envelope->epoch) {
-    this->DropHolder(message.from);
+    this->RemoveHolder(message.from);
   }
   this->epochs[message.from] = envelope->epoch;
   std::visit([&](const auto& each) { this->OnPeer(message.from, each); },
@@ -47,7 +47,7 @@
   }
 }
 
-std::optional<SubmitRequest> DispatchCore::SubmitFrom(
+std::optional<SubmitRequest> DispatchCore::ToSubmitRequest(
     const PeerDemand& demand) const {
   const auto target = this->names.find(demand.target);
   const auto organisation = this->names.find(demand.organisation);
@@ -65,9 +65,9 @@
   return submit;
 }
 
-std::optional<SubmitRequest> DispatchCore::SubmitFrom(
-    const PeerAsk& message) const {
-  auto submit = this->SubmitFrom(message.demand);
+std::optional<SubmitRequest> DispatchCore::ToSubmitRequest(
+    const PeerReserve& message) const {
+  auto submit = this->ToSubmitRequest(message.demand);
   if (!submit) {
     return std::nullopt;
   }
@@ -80,7 +80,7 @@
   return submit;
 }
 
-void DispatchCore::OnPeer(const HostId& from, const PeerAsk& message) {
+void DispatchCore::OnPeer(const HostId& from, const PeerReserve& message) {
   const StreamKey key{from, message.ticket};
   const auto placement = this->granted.find(key);
   if (placement != this->granted.end()) {
@@ -88,40 +88,40 @@
     this->Send(from, PeerGrant{message.ticket, MakeShortName(worker)});
     return;
   }
-  const auto waiting = this->asked_here.find(key);
-  if (waiting != this->asked_here.end()) {
+  const auto waiting = this->remote_waiting.find(key);
+  if (waiting != this->remote_waiting.end()) {
     Entry& entry = this->entries.at(waiting->second);
     entry.refreshed = this->now;
-    this->AnswerWaiting(entry);
+    this->RespondToReservation(entry);
     return;
   }
-  const auto submit = this->SubmitFrom(message);
-  const bool able =
-      submit &&
-      this->router.AnyOpen(this->now, this->workers.MineOf(submit->target),
-                           submit->excluded);
-  if (!able) {
+  const auto submit = this->ToSubmitRequest(message);
+  const bool has_open_worker =
+      submit && this->router.AnyOpen(
+                    this->now, this->workers.OwnedWorkersOf(submit->target),
+                    submit->excluded);
+  if (!has_open_worker) {
     this->Send(from, PeerDeny{message.ticket, Duration{0}});
     return;
   }
   Entry& entry = this->NewEntry(*submit, key);
   const Ticket ticket = entry.ticket;
-  this->asked_here[key] = ticket;
+  this->remote_waiting[key] = ticket;
   this->Enqueue(entry);
   this->Drain(submit->target);
   const auto it = this->entries.find(ticket);
   if (it != this->entries.end()) {
-    this->AnswerWaiting(it->second);
+    this->RespondToReservation(it->second);
   }
 }
 
-void DispatchCore::AnswerWaiting(Entry& entry) {
-  const auto expected = this->ExpectedWait(entry, this->Ahead(entry));
+void DispatchCore::RespondToReservation(Entry& entry) {
+  const auto expected = this->ExpectedWait(entry, this->RequestsAhead(entry));
   const bool too_long = expected && *expected > this->policy.max_wait;
   if (too_long) {
     this->Send(entry.key.holder, PeerDeny{entry.key.ticket, *expected});
     this->Dequeue(entry, false);
-    this->Forget(entry.ticket);
+    this->RemoveEntry(entry.ticket);
     return;
   }
   this->Send(entry.key.holder,
@@ -129,36 +129,36 @@
 }
 
 void DispatchCore::GrantEntry(Entry& entry, const UpstreamId& worker) {
-  Granted placement;
+  RemotePlacement placement;
   placement.worker = worker;
   placement.target = entry.submit.target;
   placement.length_key = entry.length_key;
-  placement.listed = this->now;
+  placement.confirmed = this->now;
   placement.charged = entry.charged;
   const StreamKey key = entry.key;
   this->granted[key] = std::move(placement);
-  this->Forget(entry.ticket);
+  this->RemoveEntry(entry.ticket);
   this->Send(key.holder, PeerGrant{key.ticket, MakeShortName(worker.value)});
 }
 
 void DispatchCore::OnPeer(const HostId& from, const PeerRelease& message) {
   const StreamKey key{from, message.ticket};
-  const auto waiting = this->asked_here.find(key);
-  if (waiting != this->asked_here.end()) {
+  const auto waiting = this->remote_waiting.find(key);
+  if (waiting != this->remote_waiting.end()) {
     const Ticket ticket = waiting->second;
     this->Dequeue(this->entries.at(ticket), false);
-    this->Forget(ticket);
+    this->RemoveEntry(ticket);
     return;
   }
   const auto it = this->granted.find(key);
   if (it == this->granted.end()) {
     return;
   }
-  const Granted placement = it->second;
+  const RemotePlacement placement = it->second;
   this->granted.erase(it);
   this->workers.Remove(placement.worker, key);
-  this->NoteEnd(placement.worker, message.end);
-  this->Learn(placement.length_key, message.end, message.tokens);
+  this->RecordEnd(placement.worker, message.end);
+  this->ObserveLength(placement.length_key, message.end, message.tokens);
   this->Drain(placement.target);
 }
 
@@ -171,8 +171,9 @@
       missing.tickets.push_back(stream.ticket);
       continue;
     }
-    it->second.listed = this->now;
-    this->workers.Produced(this->now, it->second.worker, key, stream.tokens);
+    it->second.confirmed = this->now;
+    this->workers.RecordProduced(this->now, it->second.worker, key,
+                                 stream.tokens);
   }
   if (!missing.tickets.empty()) {
     this->Send(from, std::move(missing));
@@ -183,70 +184,70 @@
   for (const PeerStream& stream : message.streams) {
     const StreamKey key{from, stream.progress.ticket};
     const auto name = this->names.find(stream.worker);
-    const auto submit = this->SubmitFrom(stream.demand);
+    const auto submit = this->ToSubmitRequest(stream.demand);
     const bool usable = name != this->names.end() && submit &&
                         this->granted.count(key) == 0 &&
-                        this->workers.Mine(UpstreamId{name->second});
+                        this->workers.IsOwned(UpstreamId{name->second});
     if (!usable) {
       continue;
     }
     Entry& entry = this->NewEntry(*submit, key);
-    Granted placement;
+    RemotePlacement placement;
     placement.worker = UpstreamId{name->second};
     placement.target = submit->target;
     placement.length_key = entry.length_key;
-    placement.listed = this->now;
+    placement.confirmed = this->now;
     this->workers.Add(this->now, placement.worker, key, entry.demand,
                       stream.progress.tokens);
     this->granted[key] = std::move(placement);
     this->entries.erase(entry.ticket);
   }
-  this->workers.Announced(from);
+  this->workers.RecordAnnouncement(from);
 }
 
-void DispatchCore::OnPeer(const HostId& from, const PeerWants& message) {
-  std::vector<OrganisationShare> wants;
+void DispatchCore::OnPeer(const HostId& from, const PeerLimitRequest& message) {
+  std::vector<OrganisationShare> demands;
   for (const PeerLimit& limit : message.limits) {
     const auto name = this->names.find(limit.organisation);
     if (name != this->names.end()) {
-      wants.push_back(
+      demands.push_back(
           {OrganisationId{name->second}, {limit.concurrent, limit.per_second}});
     }
   }
-  PeerShares answer;
+  PeerShares response;
   for (const OrganisationShare& each :
-       this->limits.Hand(this->now, from, wants)) {
-    answer.limits.push_back({MakeShortName(each.organisation.value),
-                             each.share.concurrent, each.share.per_second});
+       this->limits.Allocate(this->now, from, demands)) {
+    response.limits.push_back({MakeShortName(each.organisation.value),
+                               each.share.concurrent, each.share.per_second});
   }
-  this->Send(from, std::move(answer));
+  this->Send(from, std::move(response));
 }
 
-void DispatchCore::DropHolder(const HostId& holder) {
+void DispatchCore::RemoveHolder(const HostId& holder) {
   this->workers.RemoveHolder(holder);
   for (auto it = this->granted.begin(); it != this->granted.end();) {
     it = it->first.holder == holder ? this->granted.erase(it) : std::next(it);
   }
-  std::vector<Ticket> gone;
-  for (const auto& [key, ticket] : this->asked_here) {
+  std::vector<Ticket> removed;
+  for (const auto& [key, ticket] : this->remote_waiting) {
     if (key.holder == holder) {
-      gone.push_back(ticket);
+      removed.push_back(ticket);
     }
   }
-  for (const Ticket ticket : gone) {
+  for (const Ticket ticket : removed) {
     this->Dequeue(this->entries.at(ticket), false);
-    this->Forget(ticket);
+    this->RemoveEntry(ticket);
   }
   for (auto& [ticket, entry] : this->entries) {
-    if (entry.ask && entry.ask->owner == holder) {
-      entry.ask.reset();
+    if (entry.reservation && entry.reservation->owner == holder) {
+      entry.reservation.reset();
     }
   }
 }
 
 void DispatchCore::ExpireGrants() {
   for (auto it = this->granted.begin(); it != this->granted.end();) {
-    if (this->now - it->second.listed < kGrantExpires) {
+    if (this->now - it->second.confirmed < kGrantLifetime) {
       ++it;
       continue;
     }
@@ -265,12 +266,14 @@
   return owners;
 }
 
-void DispatchCore::MoveAccounts(const std::map<UpstreamId, HostId>& before) {
+void DispatchCore::TransferOwnership(
+    const std::map<UpstreamId, HostId>& previous_owners) {
   std::map<HostId, PeerAnnounce> announcements;
   std::set<UpstreamId> moved;
   for (const auto& [worker, owner] : this->Owners()) {
-    const auto was = before.find(worker);
-    const bool changed = was != before.end() && was->second != owner;
+    const auto previous = previous_owners.find(worker);
+    const bool changed =
+        previous != previous_owners.end() && previous->second != owner;
     if (changed) {
       moved.insert(worker);
       announcements[owner];
--- a/src/dispatch/core_ask.cc
+++ b/src/dispatch/core_reserve.cc
@@ -5,10 +5,11 @@
 namespace limpetlink {
 namespace {
 
-constexpr Duration kAnswerTime = std::chrono::milliseconds(500);
-constexpr Duration kAskAgain = std::chrono::seconds(4);  // while queued there
-constexpr std::uint32_t kMostUnanswered = 2;
-constexpr std::uint32_t kMostUnreserved = 2;  // streams at one worker
+constexpr Duration kReservationRetryInterval = std::chrono::milliseconds(500);
+constexpr Duration kQueuedRefreshInterval =
+    std::chrono::seconds(4);  // while queued there
+constexpr std::uint32_t kMaxUnanswered = 2;
+constexpr std::uint32_t kMaxUnreserved = 2;  // streams at one worker
 constexpr std::size_t kMaxExcluded = 16;
 
 }  // namespace
@@ -37,26 +38,26 @@
   return stream;
 }
 
-void DispatchCore::AskFor(Entry& entry) {
-  if (entry.ask || entry.placed) {
+void DispatchCore::RequestReservation(Entry& entry) {
+  if (entry.reservation || entry.placed) {
     return;
   }
   const auto owner = this->directory.Choose(this->now, entry.submit.target,
                                             entry.ticket, entry.denied_by);
   if (owner) {
-    entry.ask = OutstandingAsk{};
-    entry.ask->owner = *owner;
-    this->SendAsk(entry);
+    entry.reservation = PendingReservation{};
+    entry.reservation->owner = *owner;
+    this->SendReserve(entry);
     return;
   }
-  if (entry.silent_owners > 0) {
+  if (entry.unresponsive_owners > 0) {
     this->PlaceUnreserved(entry);
   }
 }
 
-void DispatchCore::SendAsk(Entry& entry) {
-  entry.ask->sent = this->now;
-  PeerAsk message;
+void DispatchCore::SendReserve(Entry& entry) {
+  entry.reservation->sent = this->now;
+  PeerReserve message;
   message.ticket = entry.key.ticket;
   message.demand = this->DemandOf(entry);
   for (const UpstreamId& worker : entry.submit.excluded) {
@@ -64,41 +65,42 @@
       message.excluded.push_back(MakeShortName(worker.value));
     }
   }
-  this->Send(entry.ask->owner, std::move(message));
+  this->Send(entry.reservation->owner, std::move(message));
 }
 
-void DispatchCore::ReviewAsk(Entry& entry) {
-  if (!entry.ask) {
-    this->AskFor(entry);
+void DispatchCore::CheckReservation(Entry& entry) {
+  if (!entry.reservation) {
+    this->RequestReservation(entry);
     return;
   }
-  OutstandingAsk& ask = *entry.ask;
-  const Duration since = this->now - ask.sent;
-  if (ask.queued ? since < kAskAgain : since < kAnswerTime) {
+  PendingReservation& reservation = *entry.reservation;
+  const Duration elapsed = this->now - reservation.sent;
+  if (reservation.queued ? elapsed < kQueuedRefreshInterval
+                         : elapsed < kReservationRetryInterval) {
     return;
   }
-  ask.queued = false;
-  if (++ask.unanswered <= kMostUnanswered) {
-    this->SendAsk(entry);
+  reservation.queued = false;
+  if (++reservation.unanswered <= kMaxUnanswered) {
+    this->SendReserve(entry);
     return;
   }
-  this->directory.Silent(this->now, ask.owner);
-  ++entry.silent_owners;
-  this->WithdrawAsk(entry);
-  this->AskFor(entry);
+  this->directory.MarkUnresponsive(this->now, reservation.owner);
+  ++entry.unresponsive_owners;
+  this->WithdrawReservation(entry);
+  this->RequestReservation(entry);
 }
 
-void DispatchCore::WithdrawAsk(Entry& entry) {
-  if (entry.ask) {
-    this->Send(entry.ask->owner,
+void DispatchCore::WithdrawReservation(Entry& entry) {
+  if (entry.reservation) {
+    this->Send(entry.reservation->owner,
                PeerRelease{entry.key.ticket, PlacementEnd::kCancelled, 0});
-    entry.ask.reset();
+    entry.reservation.reset();
   }
 }
 
 void DispatchCore::PlaceUnreserved(Entry& entry) {
   const auto ranked = this->router.Rank(
-      this->now, this->workers.OthersOf(entry.submit.target),
+      this->now, this->workers.RemoteWorkersOf(entry.submit.target),
       entry.submit.prefix_blocks, entry.submit.excluded,
       [this](const UpstreamId& id) {
         const auto it = this->unreserved.find(id);
@@ -107,8 +109,8 @@
   for (const RankedWorker& candidate : ranked) {
     const HostId& owner = this->workers.OwnerOf(candidate.worker);
     std::uint32_t& count = this->unreserved[candidate.worker];
-    if (!this->directory.IsSilent(this->now, owner) ||
-        count >= kMostUnreserved) {
+    if (!this->directory.IsUnresponsive(this->now, owner) ||
+        count >= kMaxUnreserved) {
       continue;
     }
     ++count;
@@ -142,16 +144,16 @@
                       this->router.Health(worker).Closed(this->now);
   if (closed) {
     this->Send(from, PeerRelease{message.ticket, PlacementEnd::kRefused, 0});
-    entry.ask.reset();
+    entry.reservation.reset();
     entry.denied_by.push_back(from);
-    this->AskFor(entry);
+    this->RequestReservation(entry);
     return;
   }
-  this->directory.Heard(this->now, from, entry.submit.target, Duration{0});
-  if (entry.ask && entry.ask->owner != from) {
-    this->WithdrawAsk(entry);
+  this->directory.RecordWait(this->now, from, entry.submit.target, Duration{0});
+  if (entry.reservation && entry.reservation->owner != from) {
+    this->WithdrawReservation(entry);
   }
-  entry.ask.reset();
+  entry.reservation.reset();
   this->Dequeue(entry, true);
   entry.charged = this->ChargeFor(entry);
   this->fair[entry.submit.target].Charge(entry.submit.organisation,
@@ -161,62 +163,64 @@
 
 void DispatchCore::OnPeer(const HostId& from, const PeerQueued& message) {
   const auto it = this->entries.find(message.ticket);
-  const bool expected = it != this->entries.end() && it->second.ask &&
-                        it->second.ask->owner == from;
+  const bool expected = it != this->entries.end() && it->second.reservation &&
+                        it->second.reservation->owner == from;
   if (!expected) {
     this->Send(from, PeerRelease{message.ticket, PlacementEnd::kCancelled, 0});
     return;
   }
-  it->second.ask->queued = true;
-  it->second.ask->unanswered = 0;
-  this->directory.Heard(this->now, from, it->second.submit.target,
-                        message.expected_wait);
+  it->second.reservation->queued = true;
+  it->second.reservation->unanswered = 0;
+  this->directory.RecordWait(this->now, from, it->second.submit.target,
+                             message.expected_wait);
 }
 
 void DispatchCore::OnPeer(const HostId& from, const PeerDeny& message) {
   const auto it = this->entries.find(message.ticket);
-  const bool expected = it != this->entries.end() && it->second.ask &&
-                        it->second.ask->owner == from;
+  const bool expected = it != this->entries.end() && it->second.reservation &&
+                        it->second.reservation->owner == from;
   if (!expected) {
     return;
   }
   Entry& entry = it->second;
-  entry.ask.reset();
+  entry.reservation.reset();
   entry.denied_by.push_back(from);
-  const bool shorter = entry.shortest_denied == Duration{0} ||
-                       message.expected_wait < entry.shortest_denied;
+  const bool shorter = entry.shortest_denied_wait == Duration{0} ||
+                       message.expected_wait < entry.shortest_denied_wait;
   if (shorter) {
-    entry.shortest_denied = message.expected_wait;
+    entry.shortest_denied_wait = message.expected_wait;
   }
-  this->directory.Heard(this->now, from, entry.submit.target,
-                        message.expected_wait);
-  if (this->MayStillHelp(entry)) {
-    this->AskFor(entry);
+  this->directory.RecordWait(this->now, from, entry.submit.target,
+                             message.expected_wait);
+  if (this->HasUntriedOwner(entry)) {
+    this->RequestReservation(entry);
     return;
   }
-  const bool own = !this->workers.MineOf(entry.submit.target).empty();
-  if (own) {
-    this->JudgeArrival(entry);
+  const bool owns_workers =
+      !this->workers.OwnedWorkersOf(entry.submit.target).empty();
+  if (owns_workers) {
+    this->EvaluateArrival(entry);
     return;
   }
-  const Duration longest = this->LongestWait(entry);
-  this->RefuseEntry(entry, ErrorCode::kAdmissionExpectedWaitTooLong,
-                    "every host asked would take longer",
-                    std::max(Duration{0}, entry.shortest_denied - longest));
+  const Duration max_wait = this->MaxWait(entry);
+  this->RefuseEntry(
+      entry, ErrorCode::kAdmissionExpectedWaitTooLong,
+      "every host asked would take longer",
+      std::max(Duration{0}, entry.shortest_denied_wait - max_wait));
 }
 
 void DispatchCore::OnPeer(const HostId& from, const PeerMissing& message) {
-  PeerAnnounce answer;
+  PeerAnnounce announcement;
   for (const Ticket ticket : message.tickets) {
     const auto it = this->entries.find(ticket);
     const bool held = it != this->entries.end() && it->second.placed &&
                       it->second.owner == from;
     if (held) {
-      answer.streams.push_back(this->StreamOf(it->second));
+      announcement.streams.push_back(this->StreamOf(it->second));
     }
   }
-  if (!answer.streams.empty()) {
-    this->Send(from, std::move(answer));
+  if (!announcement.streams.empty()) {
+    this->Send(from, std::move(announcement));
   }
 }
 
@@ -232,14 +236,16 @@
   }
 }
 
-void DispatchCore::SendWants() {
-  for (const WantsFor& wants : this->limits.TakeWants(this->now)) {
-    PeerWants message;
-    for (const OrganisationShare& want : wants.wants) {
-      message.limits.push_back({MakeShortName(want.organisation.value),
-                                want.share.concurrent, want.share.per_second});
+void DispatchCore::SendLimitRequests() {
+  for (const LimitRequest& request :
+       this->limits.CollectLimitRequests(this->now)) {
+    PeerLimitRequest message;
+    for (const OrganisationShare& demand : request.demands) {
+      message.limits.push_back({MakeShortName(demand.organisation.value),
+                                demand.share.concurrent,
+                                demand.share.per_second});
     }
-    this->Send(wants.owner, std::move(message));
+    this->Send(request.owner, std::move(message));
   }
 }
 
@@ -252,7 +258,7 @@
           {OrganisationId{name->second}, {limit.concurrent, limit.per_second}});
     }
   }
-  this->limits.Granted(this->now, shares);
+  this->limits.ApplyShares(this->now, shares);
 }
 
 }  // namespace limpetlink
--- a/src/dispatch/core_wait.cc
+++ b/src/dispatch/core_wait.cc
@@ -5,23 +5,23 @@
 namespace limpetlink {
 namespace {
 
-constexpr Duration kReviewEvery = std::chrono::milliseconds(250);
-constexpr Duration kTellEvery = std::chrono::seconds(2);
-constexpr Duration kAskExpires = std::chrono::seconds(10);
-constexpr std::size_t kEnoughDenials = 3;
-constexpr Duration kNoUpstreamRetry = std::chrono::seconds(2);
+constexpr Duration kReevaluationInterval = std::chrono::milliseconds(250);
+constexpr Duration kWaitingReportInterval = std::chrono::seconds(2);
+constexpr Duration kReservationTimeout = std::chrono::seconds(10);
+constexpr std::size_t kMaxDenials = 3;
+constexpr Duration kNoUpstreamRetryAfter = std::chrono::seconds(2);
 
 }  // namespace
 
-std::size_t DispatchCore::Ahead(const Entry& entry) {
+std::size_t DispatchCore::RequestsAhead(const Entry& entry) {
   // Lines are served in turn, so each request before it in its own line comes
   // with one of every other line.
   const WaitQueue& queue =
       this->queues[entry.submit.target].Of(entry.submit.request_class);
-  const std::size_t own =
+  const std::size_t own_position =
       queue.Position(entry.submit.organisation, entry.ticket);
-  const std::size_t lines = queue.Lines();
-  return std::min(queue.Size(), (own + 1) * lines);
+  const std::size_t organisation_count = queue.OrganisationCount();
+  return std::min(queue.Size(), (own_position + 1) * organisation_count);
 }
 
 std::optional<Duration> DispatchCore::ExpectedWait(const Entry& entry,
@@ -31,7 +31,7 @@
       .ExpectedWait(this->now, ahead);
 }
 
-Duration DispatchCore::LongestWait(const Entry& entry) const {
+Duration DispatchCore::MaxWait(const Entry& entry) const {
   const Duration by_weight = this->policy.max_wait;
   if (entry.submit.deadline == kNever) {
     return by_weight;
@@ -39,52 +39,52 @@
   return std::min(by_weight, entry.submit.deadline - entry.arrived);
 }
 
-bool DispatchCore::MayStillHelp(const Entry& entry) const {
-  const bool others = this->directory.Any(entry.submit.target);
-  return others && entry.denied_by.size() < kEnoughDenials &&
+bool DispatchCore::HasUntriedOwner(const Entry& entry) const {
+  const bool has_other_owners = this->directory.HasOwners(entry.submit.target);
+  return has_other_owners && entry.denied_by.size() < kMaxDenials &&
          this->directory
              .Choose(this->now, entry.submit.target, entry.ticket,
                      entry.denied_by)
              .has_value();
 }
 
-void DispatchCore::JudgeArrival(Entry& entry) {
-  this->AskFor(entry);
+void DispatchCore::EvaluateArrival(Entry& entry) {
+  this->RequestReservation(entry);
   if (entry.placed) {
     return;
   }
-  const std::size_t ahead = this->Ahead(entry);
+  const std::size_t ahead = this->RequestsAhead(entry);
   const auto expected = this->ExpectedWait(entry, ahead);
-  const Duration longest = this->LongestWait(entry);
-  const bool too_long = expected && *expected > longest;
-  if (too_long && !this->MayStillHelp(entry)) {
+  const Duration max_wait = this->MaxWait(entry);
+  const bool too_long = expected && *expected > max_wait;
+  if (too_long && !this->HasUntriedOwner(entry)) {
     this->RefuseEntry(entry, ErrorCode::kAdmissionExpectedWaitTooLong,
                       "the queue would take longer than the request may wait",
-                      *expected - longest);
+                      *expected - max_wait);
     return;
   }
-  this->TellWaiting(entry, ahead);
+  this->ReportWaiting(entry, ahead);
 }
 
-void DispatchCore::TellWaiting(Entry& entry, std::size_t ahead) {
-  entry.told = this->now;
-  entry.told_place = static_cast<std::uint32_t>(ahead);
+void DispatchCore::ReportWaiting(Entry& entry, std::size_t ahead) {
+  entry.last_reported = this->now;
+  entry.reported_position = static_cast<std::uint32_t>(ahead);
   Waiting waiting;
   waiting.request = entry.submit.request;
-  waiting.position = entry.told_place;
+  waiting.position = entry.reported_position;
   waiting.expected_wait =
       this->ExpectedWait(entry, ahead).value_or(Duration{0});
-  waiting.reason = entry.ask && entry.ask->queued
+  waiting.reason = entry.reservation && entry.reservation->queued
                        ? "workers of this and another host are full"
                        : "workers are full";
   this->actions.emplace_back(std::move(waiting));
 }
 
-void DispatchCore::Review() {
-  if (this->now - this->reviewed < kReviewEvery) {
+void DispatchCore::ReevaluateWaiting() {
+  if (this->now - this->last_reevaluation < kReevaluationInterval) {
     return;
   }
-  this->reviewed = this->now;
+  this->last_reevaluation = this->now;
   std::vector<Ticket> waiting;
   for (const auto& [ticket, entry] : this->entries) {
     if (!entry.placed) {
@@ -98,19 +98,19 @@
     }
     Entry& entry = it->second;
     if (entry.key.holder != this->settings.self) {
-      if (this->now - entry.refreshed >= kAskExpires) {
+      if (this->now - entry.refreshed >= kReservationTimeout) {
         this->Dequeue(entry, false);
-        this->Forget(ticket);
+        this->RemoveEntry(ticket);
       }
       continue;
     }
-    if (!this->ReviewEntry(entry, this->Ahead(entry))) {
-      this->ReviewAsk(entry);
+    if (!this->ReevaluateEntry(entry, this->RequestsAhead(entry))) {
+      this->CheckReservation(entry);
     }
   }
 }
 
-bool DispatchCore::ReviewEntry(Entry& entry, std::size_t ahead) {
+bool DispatchCore::ReevaluateEntry(Entry& entry, std::size_t ahead) {
   const SubmitRequest& submit = entry.submit;
   const auto expected = this->ExpectedWait(entry, ahead);
   if (submit.deadline <= this->now) {
@@ -118,23 +118,24 @@
                       "the deadline was reached in the queue", expected);
     return true;
   }
-  const auto& everyone = this->router.WorkersOf(submit.target);
-  if (!this->router.AnyOpen(this->now, everyone, submit.excluded)) {
+  const auto& all_workers = this->router.WorkersOf(submit.target);
+  if (!this->router.AnyOpen(this->now, all_workers, submit.excluded)) {
     this->RefuseEntry(entry, ErrorCode::kRoutingNoUpstream,
-                      "no worker takes new work", kNoUpstreamRetry);
+                      "no worker takes new work", kNoUpstreamRetryAfter);
     return true;
   }
   const Duration waited = this->now - entry.arrived;
-  const Duration longest = this->LongestWait(entry);
-  const bool hopeless = expected && waited + *expected > longest * 3 / 2;
-  const bool over = waited > longest * 3 / 2;
-  if ((hopeless || over) && !this->MayStillHelp(entry)) {
+  const Duration max_wait = this->MaxWait(entry);
+  const bool expected_too_long =
+      expected && waited + *expected > max_wait * 3 / 2;
+  const bool waited_too_long = waited > max_wait * 3 / 2;
+  if ((expected_too_long || waited_too_long) && !this->HasUntriedOwner(entry)) {
     this->RefuseEntry(entry, ErrorCode::kAdmissionExpectedWaitTooLong,
                       "the queue drains too slowly", expected);
     return true;
   }
-  if (this->now - entry.told >= kTellEvery) {
-    this->TellWaiting(entry, ahead);
+  if (this->now - entry.last_reported >= kWaitingReportInterval) {
+    this->ReportWaiting(entry, ahead);
   }
   return false;
 }
--- a/src/dispatch/detail/core.h
+++ b/src/dispatch/detail/core.h
@@ -48,42 +48,43 @@
   void On(const DispatchTick& message);
 
   // Coming and going of requests (core.cc).
-  std::optional<Problem> WhyNot(const SubmitRequest& message);
+  std::optional<Problem> Validate(const SubmitRequest& message);
   Entry& NewEntry(const SubmitRequest& message, const StreamKey& key);
   void Enqueue(Entry& entry);
   void EndPlaced(Entry& entry, const ReportEnded& message);
-  void NoteEnd(const UpstreamId& worker, PlacementEnd end);
+  void RecordEnd(const UpstreamId& worker, PlacementEnd end);
   void RefuseEntry(Entry& entry, ErrorCode code, std::string_view detail,
                    std::optional<Duration> retry_after);
-  void Forget(Ticket ticket);
+  void RemoveEntry(Ticket ticket);
   double ChargeFor(const Entry& entry) const;
-  void Learn(const LengthKey& key, PlacementEnd end, std::uint32_t tokens);
+  void ObserveLength(const LengthKey& key, PlacementEnd end,
+                     std::uint32_t tokens);
 
   // Placing (core_drain.cc).
   void Drain(const std::string& target);
   bool DrainOne(const std::string& target, RequestClass request_class);
   bool TryPlace(Entry& entry);
-  void PlaceHere(Entry& entry, const UpstreamId& worker);
+  void PlaceLocally(Entry& entry, const UpstreamId& worker);
   void MarkPlaced(Entry& entry, const UpstreamId& worker, const HostId& owner);
   void Dequeue(const Entry& entry, bool served);
   void DrainAll();
 
   // Waiting (core_wait.cc).
-  void Review();
-  bool ReviewEntry(Entry& entry, std::size_t ahead);
-  void TellWaiting(Entry& entry, std::size_t ahead);
-  std::size_t Ahead(const Entry& entry);
+  void ReevaluateWaiting();
+  bool ReevaluateEntry(Entry& entry, std::size_t ahead);
+  void ReportWaiting(Entry& entry, std::size_t ahead);
+  std::size_t RequestsAhead(const Entry& entry);
   std::optional<Duration> ExpectedWait(const Entry& entry, std::size_t ahead);
-  Duration LongestWait(const Entry& entry) const;
-  bool MayStillHelp(const Entry& entry) const;
-  void JudgeArrival(Entry& entry);
+  Duration MaxWait(const Entry& entry) const;
+  bool HasUntriedOwner(const Entry& entry) const;
+  void EvaluateArrival(Entry& entry);
 
-  // Asking other owners (core_ask.cc).
+  // Asking other owners (core_reserve.cc).
   void Send(const HostId& to, PeerMessage message);
-  void AskFor(Entry& entry);
-  void SendAsk(Entry& entry);
-  void ReviewAsk(Entry& entry);
-  void WithdrawAsk(Entry& entry);
+  void RequestReservation(Entry& entry);
+  void SendReserve(Entry& entry);
+  void CheckReservation(Entry& entry);
+  void WithdrawReservation(Entry& entry);
   void PlaceUnreserved(Entry& entry);
   void OnPeer(const HostId& from, const PeerGrant& message);
   void OnPeer(const HostId& from, const PeerQueued& message);
@@ -93,21 +94,22 @@
   PeerDemand DemandOf(const Entry& entry) const;
   PeerStream StreamOf(const Entry& entry) const;
   void SendSnapshots();
-  void SendWants();
+  void SendLimitRequests();
 
   // Granting to other hosts (core_grant.cc).
-  void OnPeer(const HostId& from, const PeerAsk& message);
+  void OnPeer(const HostId& from, const PeerReserve& message);
   void OnPeer(const HostId& from, const PeerRelease& message);
   void OnPeer(const HostId& from, const PeerSnapshot& message);
   void OnPeer(const HostId& from, const PeerAnnounce& message);
-  void OnPeer(const HostId& from, const PeerWants& message);
-  std::optional<SubmitRequest> SubmitFrom(const PeerAsk& message) const;
-  std::optional<SubmitRequest> SubmitFrom(const PeerDemand& demand) const;
+  void OnPeer(const HostId& from, const PeerLimitRequest& message);
+  std::optional<SubmitRequest> ToSubmitRequest(
+      const PeerReserve& message) const;
+  std::optional<SubmitRequest> ToSubmitRequest(const PeerDemand& demand) const;
   void GrantEntry(Entry& entry, const UpstreamId& worker);
-  void AnswerWaiting(Entry& entry);
-  void DropHolder(const HostId& holder);
+  void RespondToReservation(Entry& entry);
+  void RemoveHolder(const HostId& holder);
   void ExpireGrants();
-  void MoveAccounts(const std::map<UpstreamId, HostId>& before);
+  void TransferOwnership(const std::map<UpstreamId, HostId>& previous_owners);
   std::map<UpstreamId, HostId> Owners() const;
   void IndexNames();
 
@@ -132,16 +134,17 @@
   std::unordered_map<RequestId, Ticket> tickets;
   std::map<std::string, TargetQueues> queues;
   std::map<std::string, FairShare> fair;
-  std::map<StreamKey, Ticket> asked_here;  ///< asks of others that wait here
-  std::map<StreamKey, Granted> granted;
+  std::map<StreamKey, Ticket>
+      remote_waiting;  ///< asks of others that wait here
+  std::map<StreamKey, RemotePlacement> granted;
   std::map<UpstreamId, std::uint32_t> unreserved;
   std::map<HostId, std::uint32_t> epochs;
   std::unordered_map<ShortName, std::string> names;
 
-  Instant reviewed;
-  Instant snapshots_sent;
-  Instant wants_sent;
-  Instant ticked;
+  Instant last_reevaluation;
+  Instant last_snapshots;
+  Instant last_limit_requests;
+  Instant last_tick;
 };
 
 }  // namespace limpetlink
--- a/src/dispatch/detail/entries.h
+++ b/src/dispatch/detail/entries.h
@@ -15,7 +15,7 @@
 namespace limpetlink {
 
 /// @brief The ask that a waiting request has out with another owner.
-struct OutstandingAsk {
+struct PendingReservation {
   HostId owner;
   Instant sent;         ///< last time
   bool queued = false;  ///< the owner said that it waits there
@@ -33,12 +33,12 @@
   Instant refreshed;  ///< last ask, of another host's request
 
   // While it waits.
-  std::optional<OutstandingAsk> ask;
+  std::optional<PendingReservation> reservation;
   std::vector<HostId> denied_by;
-  std::uint32_t silent_owners = 0;
-  Duration shortest_denied{0};  ///< least expected wait that a denial told
-  Instant told;
-  std::uint32_t told_place = 0;
+  std::uint32_t unresponsive_owners = 0;
+  Duration shortest_denied_wait{0};  ///< least expected wait that a denial told
+  Instant last_reported;
+  std::uint32_t reported_position = 0;
 
   // Once it is placed.
   bool placed = false;
@@ -52,11 +52,11 @@
 };
 
 /// @brief A placement of another host in the account of a worker of this host.
-struct Granted {
+struct RemotePlacement {
   UpstreamId worker;
   std::string target;
   LengthKey length_key;
-  Instant listed;  ///< granted, or last named by its holder
+  Instant confirmed;  ///< granted, or last named by its holder
   double charged = 0;
 };
 
--- a/src/dispatch/detail/limit_table.h
+++ b/src/dispatch/detail/limit_table.h
@@ -18,9 +18,9 @@
 };
 
 /// @brief Wants to be sent to one owner.
-struct WantsFor {
+struct LimitRequest {
   HostId owner;
-  std::vector<OrganisationShare> wants;
+  std::vector<OrganisationShare> demands;
 };
 
 /// @brief Limits by organisation.
@@ -38,34 +38,34 @@
   /// @brief Counts a request in.
   /// @param again whether it is a repeat
   LimitAnswer Begin(Instant now, const OrganisationId& organisation,
-                    bool again);
+                    bool is_retry);
 
   /// @brief Counts a request out.
   void End(const OrganisationId& organisation, Duration held);
 
   /// @brief Says when a refused caller may come back.
   Duration RetryAfter(Instant now, const OrganisationId& organisation,
-                      LimitAnswer answer) const;
+                      LimitAnswer decision) const;
 
   /// @brief Collects what is to be asked of the limits' owners now: only for
   /// organisations that press against their fallback part. This host's own
   /// are settled at once.
-  std::vector<WantsFor> TakeWants(Instant now);
+  std::vector<LimitRequest> CollectLimitRequests(Instant now);
 
   /// @brief Answers a host's wants as the owner.
-  std::vector<OrganisationShare> Hand(
+  std::vector<OrganisationShare> Allocate(
       Instant now, const HostId& from,
-      const std::vector<OrganisationShare>& wants);
+      const std::vector<OrganisationShare>& demands);
 
   /// @brief Takes shares from an owner in.
-  void Granted(Instant now, const std::vector<OrganisationShare>& shares);
+  void ApplyShares(Instant now, const std::vector<OrganisationShare>& shares);
 
  private:
   struct Limits {
     LimitShare total;
     HostId owner;
-    HostLimit here;
-    ShareOwner handed;
+    HostLimit local;
+    ShareOwner allocator;
   };
 
   void Refresh(const OrganisationId& organisation, Limits& limits);
--- a/src/dispatch/detail/messages.h
+++ b/src/dispatch/detail/messages.h
@@ -82,14 +82,14 @@
 };
 
 /// @brief Why a worker gets no new work, or that it may again.
-enum class WorkerState { kLive, kLeaving, kGone };
+enum class WorkerState { kLive, kLeaving, kTerminated };
 
 template <>
 struct EnumTable<WorkerState> {
   static constexpr EnumName<WorkerState> kRows[] = {
       {WorkerState::kLive, "live"},
       {WorkerState::kLeaving, "leaving"},
-      {WorkerState::kGone, "gone"}};
+      {WorkerState::kTerminated, "gone"}};
 };
 
 /// @brief A sign of a worker's state from the host list, its report or a
--- a/src/dispatch/detail/owner_directory.h
+++ b/src/dispatch/detail/owner_directory.h
@@ -31,17 +31,17 @@
                                const std::vector<HostId>& tried) const;
 
   /// @brief An owner told its expected wait.
-  void Heard(Instant now, const HostId& owner, const std::string& target,
-             Duration expected_wait);
+  void RecordWait(Instant now, const HostId& owner, const std::string& target,
+                  Duration expected_wait);
 
   /// @brief An owner did not answer.
-  void Silent(Instant now, const HostId& owner);
+  void MarkUnresponsive(Instant now, const HostId& owner);
 
   /// @return whether an owner is thought silent now
-  bool IsSilent(Instant now, const HostId& owner) const;
+  bool IsUnresponsive(Instant now, const HostId& owner) const;
 
   /// @return whether any other host owns workers of the target
-  bool Any(const std::string& target) const;
+  bool HasOwners(const std::string& target) const;
 
  private:
   struct Owner {
@@ -49,11 +49,11 @@
     Distance distance = Distance::kOtherRegion;
     std::uint64_t hash = 0;
     Duration wait{0};
-    Instant heard;
+    Instant updated;
   };
 
   std::map<std::string, std::vector<Owner>> targets;
-  std::map<HostId, Instant> silent_until;
+  std::map<HostId, Instant> unresponsive_until;
 };
 
 }  // namespace limpetlink
--- a/src/dispatch/detail/wire.h
+++ b/src/dispatch/detail/wire.h
@@ -33,7 +33,7 @@
 };
 
 /// @brief Reserve: asks an owner for a place; sent again until it is answered.
-struct PeerAsk {
+struct PeerReserve {
   Ticket ticket;
   PeerDemand demand;
   std::vector<ShortName> excluded;  ///< workers already tried
@@ -101,7 +101,7 @@
 };
 
 /// @brief Asks a limit's owner for shares.
-struct PeerWants {
+struct PeerLimitRequest {
   std::vector<PeerLimit> limits;
 };
 
@@ -111,9 +111,9 @@
 };
 
 /// @brief What dispatchers tell each other.
-using PeerMessage = std::variant<PeerAsk, PeerGrant, PeerQueued, PeerDeny,
+using PeerMessage = std::variant<PeerReserve, PeerGrant, PeerQueued, PeerDeny,
                                  PeerRelease, PeerSnapshot, PeerMissing,
-                                 PeerAnnounce, PeerWants, PeerShares>;
+                                 PeerAnnounce, PeerLimitRequest, PeerShares>;
 
 /// @brief A message and which life of the sender it comes from.
 struct PeerEnvelope {
--- a/src/dispatch/detail/worker_table.h
+++ b/src/dispatch/detail/worker_table.h
@@ -37,7 +37,7 @@
   void SetHosts(Instant now, HostView view);
 
   /// @return whether this host owns the worker
-  bool Mine(const UpstreamId& worker) const;
+  bool IsOwned(const UpstreamId& worker) const;
 
   /// @return the worker's owner; this host for an unknown worker
   const HostId& OwnerOf(const UpstreamId& worker) const;
@@ -46,25 +46,27 @@
   const Upstream* Find(const UpstreamId& worker) const;
 
   /// @return workers of a target that this host owns
-  const std::vector<UpstreamId>& MineOf(const std::string& target) const;
+  const std::vector<UpstreamId>& OwnedWorkersOf(
+      const std::string& target) const;
 
   /// @return every worker this host owns
-  std::vector<UpstreamId> AllMine() const;
+  std::vector<UpstreamId> OwnedWorkers() const;
 
   /// @return workers of a target that others own
-  const std::vector<UpstreamId>& OthersOf(const std::string& target) const;
+  const std::vector<UpstreamId>& RemoteWorkersOf(
+      const std::string& target) const;
 
   /// @brief Says whether a worker of this host may take a request now.
-  AdmissionAnswer Check(Instant now, const UpstreamId& worker,
-                        const Demand& demand, double share);
+  AdmissionDecision Check(Instant now, const UpstreamId& worker,
+                          const Demand& demand, double share);
 
   /// @brief Enters a placement at a worker of this host.
   void Add(Instant now, const UpstreamId& worker, const StreamKey& key,
            const Demand& demand, std::uint32_t produced);
 
   /// @brief Counts produced tokens at a worker of this host.
-  void Produced(Instant now, const UpstreamId& worker, const StreamKey& key,
-                std::uint32_t tokens);
+  void RecordProduced(Instant now, const UpstreamId& worker,
+                      const StreamKey& key, std::uint32_t tokens);
 
   /// @brief Takes a placement out.
   /// @return whether it was there
@@ -82,10 +84,10 @@
                       double waiting);
 
   /// @brief A host has announced what it holds.
-  void Announced(const HostId& from);
+  void RecordAnnouncement(const HostId& from);
 
   /// @return a worker's fill, 1 being full; 0 for a worker of another host
-  double Fill(const UpstreamId& worker) const;
+  double Utilisation(const UpstreamId& worker) const;
 
  private:
   struct Worker {
@@ -93,9 +95,11 @@
     HostId owner;
     Admitter admitter{AdmissionPolicy{}};
     ConcurrencyEstimate concurrency;
-    std::set<HostId> unannounced;
+    std::set<HostId> awaiting_announcement;
 
-    bool Engine() const { return this->upstream.kind == UpstreamKind::kEngine; }
+    bool IsEngine() const {
+      return this->upstream.kind == UpstreamKind::kEngine;
+    }
   };
 
   HostId Owner(const Upstream& upstream) const;
@@ -107,8 +111,8 @@
   AdmissionPolicy policy;
   std::map<FailureDomainId, std::string> regions;
   std::map<UpstreamId, Worker> workers;
-  std::map<std::string, std::vector<UpstreamId>> mine;
-  std::map<std::string, std::vector<UpstreamId>> others;
+  std::map<std::string, std::vector<UpstreamId>> owned;
+  std::map<std::string, std::vector<UpstreamId>> remote;
 };
 
 }  // namespace limpetlink
--- a/src/dispatch/limit_table.cc
+++ b/src/dispatch/limit_table.cc
@@ -9,8 +9,8 @@
 
 void LimitTable::Refresh(const OrganisationId& organisation, Limits& limits) {
   limits.owner = RendezvousOwner("limit/" + organisation.value, this->live);
-  limits.here.SetTotal(limits.total, this->live.size());
-  limits.handed.SetTotal(limits.total, this->live.size());
+  limits.local.SetTotal(limits.total, this->live.size());
+  limits.allocator.SetTotal(limits.total, this->live.size());
 }
 
 void LimitTable::Configure(const FleetDocument& document) {
@@ -35,71 +35,72 @@
 }
 
 LimitAnswer LimitTable::Begin(Instant now, const OrganisationId& organisation,
-                              bool again) {
+                              bool is_retry) {
   const auto it = this->organisations.find(organisation);
-  return it == this->organisations.end() ? LimitAnswer::kWithin
-                                         : it->second.here.Begin(now, again);
+  return it == this->organisations.end()
+             ? LimitAnswer::kWithin
+             : it->second.local.Begin(now, is_retry);
 }
 
 void LimitTable::End(const OrganisationId& organisation, Duration held) {
   const auto it = this->organisations.find(organisation);
   if (it != this->organisations.end()) {
-    it->second.here.End(held);
+    it->second.local.End(held);
   }
 }
 
 Duration LimitTable::RetryAfter(Instant now, const OrganisationId& organisation,
-                                LimitAnswer answer) const {
+                                LimitAnswer decision) const {
   const auto it = this->organisations.find(organisation);
   return it == this->organisations.end()
              ? Duration{0}
-             : it->second.here.RetryAfter(answer, now);
+             : it->second.local.RetryAfter(decision, now);
 }
 
-std::vector<WantsFor> LimitTable::TakeWants(Instant now) {
+std::vector<LimitRequest> LimitTable::CollectLimitRequests(Instant now) {
   std::map<HostId, std::vector<OrganisationShare>> by_owner;
   for (auto& [organisation, limits] : this->organisations) {
-    const bool pressed = limits.here.Pressed(now);
-    const LimitShare wanted = limits.here.TakeWanted(now);
-    if (!pressed || this->live.size() < 2) {
+    const bool needs_share = limits.local.Pressed(now);
+    const LimitShare demand = limits.local.TakeWanted(now);
+    if (!needs_share || this->live.size() < 2) {
       continue;
     }
     if (limits.owner == this->self) {
-      const LimitShare share = limits.handed.Ask(now, this->self, wanted);
-      limits.here.Grant(share, now + kShareLasts);
+      const LimitShare share = limits.allocator.Ask(now, this->self, demand);
+      limits.local.Grant(share, now + kShareLasts);
     } else {
-      by_owner[limits.owner].push_back({organisation, wanted});
+      by_owner[limits.owner].push_back({organisation, demand});
     }
   }
-  std::vector<WantsFor> result;
+  std::vector<LimitRequest> result;
   result.reserve(by_owner.size());
-  for (auto& [owner, wants] : by_owner) {
-    result.push_back({owner, std::move(wants)});
+  for (auto& [owner, demands] : by_owner) {
+    result.push_back({owner, std::move(demands)});
   }
   return result;
 }
 
-std::vector<OrganisationShare> LimitTable::Hand(
+std::vector<OrganisationShare> LimitTable::Allocate(
     Instant now, const HostId& from,
-    const std::vector<OrganisationShare>& wants) {
+    const std::vector<OrganisationShare>& demands) {
   std::vector<OrganisationShare> shares;
-  for (const OrganisationShare& want : wants) {
-    const auto it = this->organisations.find(want.organisation);
+  for (const OrganisationShare& demand : demands) {
+    const auto it = this->organisations.find(demand.organisation);
     if (it == this->organisations.end()) {
       continue;
     }
-    const LimitShare share = it->second.handed.Ask(now, from, want.share);
-    shares.push_back({want.organisation, share});
+    const LimitShare share = it->second.allocator.Ask(now, from, demand.share);
+    shares.push_back({demand.organisation, share});
   }
   return shares;
 }
 
-void LimitTable::Granted(Instant now,
-                         const std::vector<OrganisationShare>& shares) {
+void LimitTable::ApplyShares(Instant now,
+                             const std::vector<OrganisationShare>& shares) {
   for (const OrganisationShare& each : shares) {
     const auto it = this->organisations.find(each.organisation);
     if (it != this->organisations.end()) {
-      it->second.here.Grant(each.share, now + kShareLasts);
+      it->second.local.Grant(each.share, now + kShareLasts);
     }
   }
 }
--- a/src/dispatch/owner_directory.cc
+++ b/src/dispatch/owner_directory.cc
@@ -5,8 +5,8 @@
 namespace limpetlink {
 namespace {
 
-constexpr Duration kHintLasts = std::chrono::seconds(2);
-constexpr Duration kSilentLasts = std::chrono::seconds(5);
+constexpr Duration kHintLifetime = std::chrono::seconds(2);
+constexpr Duration kUnresponsivePeriod = std::chrono::seconds(5);
 // A step further away is worth this much waiting.
 constexpr Duration kDistanceCost = std::chrono::milliseconds(500);
 
@@ -16,7 +16,7 @@
                            const WorkerTable& workers, const Router& router) {
   this->targets.clear();
   for (const Upstream& upstream : document.upstreams) {
-    if (workers.Mine(upstream.id)) {
+    if (workers.IsOwned(upstream.id)) {
       continue;
     }
     const HostId& host = workers.OwnerOf(upstream.id);
@@ -48,12 +48,12 @@
   std::pair<Duration, std::uint64_t> best_cost;
   for (const Owner& owner : it->second) {
     const bool skip =
-        this->IsSilent(now, owner.host) ||
+        this->IsUnresponsive(now, owner.host) ||
         std::find(tried.begin(), tried.end(), owner.host) != tried.end();
     if (skip) {
       continue;
     }
-    const bool fresh = now - owner.heard < kHintLasts;
+    const bool fresh = now - owner.updated < kHintLifetime;
     const Duration wait = fresh ? owner.wait : Duration{0};
     const std::uint64_t spread = Random(owner.hash ^ ticket.value)();
     const auto cost = std::make_pair(
@@ -66,9 +66,10 @@
   return best == nullptr ? std::nullopt : std::optional(best->host);
 }
 
-void OwnerDirectory::Heard(Instant now, const HostId& owner,
-                           const std::string& target, Duration expected_wait) {
-  this->silent_until.erase(owner);
+void OwnerDirectory::RecordWait(Instant now, const HostId& owner,
+                                const std::string& target,
+                                Duration expected_wait) {
+  this->unresponsive_until.erase(owner);
   const auto it = this->targets.find(target);
   if (it == this->targets.end()) {
     return;
@@ -76,21 +77,21 @@
   for (Owner& each : it->second) {
     if (each.host == owner) {
       each.wait = expected_wait;
-      each.heard = now;
+      each.updated = now;
     }
   }
 }
 
-void OwnerDirectory::Silent(Instant now, const HostId& owner) {
-  this->silent_until[owner] = now + kSilentLasts;
+void OwnerDirectory::MarkUnresponsive(Instant now, const HostId& owner) {
+  this->unresponsive_until[owner] = now + kUnresponsivePeriod;
 }
 
-bool OwnerDirectory::IsSilent(Instant now, const HostId& owner) const {
-  const auto it = this->silent_until.find(owner);
-  return it != this->silent_until.end() && now < it->second;
+bool OwnerDirectory::IsUnresponsive(Instant now, const HostId& owner) const {
+  const auto it = this->unresponsive_until.find(owner);
+  return it != this->unresponsive_until.end() && now < it->second;
 }
 
-bool OwnerDirectory::Any(const std::string& target) const {
+bool OwnerDirectory::HasOwners(const std::string& target) const {
   return this->targets.count(target) != 0;
 }
 
--- a/src/dispatch/tests/dispatcher_test.cc
+++ b/src/dispatch/tests/dispatcher_test.cc
@@ -113,7 +113,7 @@
   while (!this->PlacedAt(0, this->Request(++id)).empty()) {
   }
   const std::uint64_t waiting = id;
-  std::size_t answers = 0;
+  std::size_t refusals = 0;
   Instant now = At(0);
   while (this->dispatcher.NextWakeup() != kNever && now < At(100000)) {
     now = std::max(now, this->dispatcher.NextWakeup());
@@ -122,11 +122,11 @@
       if (refuse != nullptr) {
         CHECK(refuse->request == RequestId{waiting});
         CHECK(refuse->problem.outcome == Outcome::kNotRun);
-        ++answers;
+        ++refusals;
       }
     }
   }
-  CHECK(answers == 1);
+  CHECK(refusals == 1);
   CHECK(now <= At(60050));
 }
 
--- a/src/dispatch/tests/hosts_test.cc
+++ b/src/dispatch/tests/hosts_test.cc
@@ -5,29 +5,29 @@
 namespace limpetlink {
 namespace {
 
-using testing::Fate;
 using testing::Network;
+using testing::RequestRecord;
 
 constexpr Duration kSecond = std::chrono::seconds(1);
 
 std::size_t Unanswered(const Network& network) {
   std::size_t count = 0;
-  for (const Fate& fate : network.fates) {
-    count += fate.placed || fate.refused ? 0 : 1;
+  for (const RequestRecord& record : network.requests) {
+    count += record.placed || record.refused ? 0 : 1;
   }
   return count;
 }
 
-std::size_t Placed(const Network& network) {
+std::size_t CountPlaced(const Network& network) {
   std::size_t count = 0;
-  for (const Fate& fate : network.fates) {
-    count += fate.placed ? 1 : 0;
+  for (const RequestRecord& record : network.requests) {
+    count += record.placed ? 1 : 0;
   }
   return count;
 }
 
-Network::Settings Hosts(std::size_t hosts, std::size_t workers, double loss,
-                        std::uint64_t seed) {
+Network::Settings MakeSettings(std::size_t hosts, std::size_t workers,
+                               double loss, std::uint64_t seed) {
   Network::Settings settings;
   settings.hosts = hosts;
   settings.workers = workers;
@@ -38,7 +38,7 @@
 
 TEST_CASE("dispatchers, each worker, exactly one owner among the live hosts",
           "[dispatch]") {
-  Network network(Hosts(6, 12, 0, 1));
+  Network network(MakeSettings(6, 12, 0, 1));
   std::set<std::size_t> owners;
   for (std::size_t worker = 0; worker < 12; ++worker) {
     owners.insert(network.OwnerOf(worker));
@@ -49,43 +49,43 @@
 
 TEST_CASE("dispatchers, host owns no worker, is granted one by the owner",
           "[dispatch]") {
-  Network network(Hosts(2, 1, 0, 1));
+  Network network(MakeSettings(2, 1, 0, 1));
   const std::size_t other = 1 - network.OwnerOf(0);
   network.Advance(2 * kSecond);
   const std::size_t id = network.Submit(other, 5 * kSecond);
   network.Advance(kSecond);
-  REQUIRE(network.fates[id].placed);
-  const Duration took =
-      network.fates[id].answered - network.fates[id].submitted;
-  CHECK(took <= std::chrono::milliseconds(60));
+  REQUIRE(network.requests[id].placed);
+  const Duration latency =
+      network.requests[id].answered - network.requests[id].submitted;
+  CHECK(latency <= std::chrono::milliseconds(60));
   SECTION("the owner counts it and the end frees it") {
     const std::size_t owner = 1 - other;
     const auto fill = [&] {
       std::size_t count = 0;
       while (true) {
         const std::size_t next = network.Submit(owner, 20 * kSecond);
-        if (!network.fates[next].placed) {
+        if (!network.requests[next].placed) {
           return count;
         }
         ++count;
       }
     };
-    const std::size_t beside = fill();
-    Network alone(Hosts(2, 1, 0, 1));
+    const std::size_t with_remote = fill();
+    Network alone(MakeSettings(2, 1, 0, 1));
     alone.Advance(2 * kSecond);
-    std::size_t empty = 0;
-    while (alone.fates.empty() || alone.fates.back().placed) {
+    std::size_t capacity = 0;
+    while (alone.requests.empty() || alone.requests.back().placed) {
       alone.Submit(owner, 20 * kSecond);
-      ++empty;
+      ++capacity;
     }
-    CHECK(beside + 1 == empty - 1);
+    CHECK(with_remote + 1 == capacity - 1);
   }
 }
 
 TEST_CASE("dispatchers, messages are lost, every request is answered",
           "[dispatch]") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Network network(Hosts(4, 3, 0.2, seed));
+    Network network(MakeSettings(4, 3, 0.2, seed));
     network.Advance(6 * kSecond);
     Random random(seed);
     for (int i = 0; i < 150; ++i) {
@@ -95,21 +95,21 @@
     network.Advance(70 * kSecond);
     INFO("seed " << seed);
     CHECK(Unanswered(network) == 0);
-    CHECK(Placed(network) >= 140);
+    CHECK(CountPlaced(network) >= 140);
     // No placement of the past holds room any more: the workers fill anew.
-    const std::size_t before = Placed(network);
+    const std::size_t before = CountPlaced(network);
     for (int i = 0; i < 12; ++i) {
       network.Submit(random.Below(4), 2 * kSecond);
     }
     network.Advance(6 * kSecond);
-    CHECK(Placed(network) == before + 12);
+    CHECK(CountPlaced(network) == before + 12);
   }
 }
 
 TEST_CASE("dispatchers, owner is gone, the new one knows what runs",
           "[dispatch]") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    Network network(Hosts(3, 1, 0.1, seed));
+    Network network(MakeSettings(3, 1, 0.1, seed));
     network.Advance(6 * kSecond);
     const std::size_t owner = network.OwnerOf(0);
     const std::size_t holder = (owner + 1) % 3;
@@ -119,7 +119,7 @@
     }
     network.Advance(3 * kSecond);
     const UpstreamId worker{"w0"};
-    const std::size_t full = network.At(worker);
+    const std::size_t full = network.StreamsAt(worker);
     REQUIRE(full > 4);
     network.SetLive({holder, third});
     for (int i = 0; i < 60; ++i) {
@@ -128,7 +128,7 @@
     network.Advance(10 * kSecond);
     INFO("seed " << seed << " full " << full);
     // Two owners in turn may differ by what one lost announcement hides.
-    CHECK(network.MostAt(worker) <= full + 4);
+    CHECK(network.MaxStreamsAt(worker) <= full + 4);
     network.Advance(120 * kSecond);
     CHECK(Unanswered(network) == 0);
   }
@@ -136,22 +136,22 @@
 
 TEST_CASE("dispatchers, owner is silent, few requests go without a grant",
           "[dispatch]") {
-  Network network(Hosts(2, 1, 0, 1));
+  Network network(MakeSettings(2, 1, 0, 1));
   const std::size_t owner = network.OwnerOf(0);
   network.Advance(2 * kSecond);
-  network.Silence(owner);
+  network.DropMessagesFrom(owner);
   for (int i = 0; i < 10; ++i) {
     network.Submit(1 - owner, 200 * kSecond);
   }
   network.Advance(8 * kSecond);
-  CHECK(Placed(network) >= 1);
-  CHECK(Placed(network) <= 2);
+  CHECK(CountPlaced(network) >= 1);
+  CHECK(CountPlaced(network) <= 2);
   network.Advance(100 * kSecond);
   CHECK(Unanswered(network) == 0);
 }
 
 TEST_CASE("dispatchers, bytes are not a message, are ignored", "[dispatch]") {
-  Network network(Hosts(1, 1, 0, 1));
+  Network network(MakeSettings(1, 1, 0, 1));
   Dispatcher dispatcher({HostId{"a"}, FailureDomainId{"d"}, 1, nullptr});
   dispatcher.Step(Instant{}, Configure{std::make_shared<FleetDocument>()});
   Random random(5);
--- a/src/dispatch/tests/network.cc
+++ b/src/dispatch/tests/network.cc
@@ -5,8 +5,8 @@
 namespace limpetlink::testing {
 namespace {
 
-constexpr Duration kStep = std::chrono::milliseconds(10);
-constexpr Duration kReportEvery = std::chrono::milliseconds(500);
+constexpr Duration kTimeStep = std::chrono::milliseconds(10);
+constexpr Duration kReportInterval = std::chrono::milliseconds(500);
 constexpr std::uint32_t kPromptTokens = 500;
 
 }  // namespace
@@ -46,26 +46,26 @@
   return HostId{"host-" + std::to_string(host)};
 }
 
-void Network::SetLive(const std::vector<std::size_t>& now_live) {
-  this->live = {now_live.begin(), now_live.end()};
+void Network::SetLive(const std::vector<std::size_t>& live_hosts) {
+  this->live = {live_hosts.begin(), live_hosts.end()};
   SetHosts message;
-  for (const std::size_t host : now_live) {
+  for (const std::size_t host : live_hosts) {
     message.live.push_back(this->Name(host));
     message.failure_domains.push_back(FailureDomainId{"d"});
   }
-  for (const std::size_t host : now_live) {
+  for (const std::size_t host : live_hosts) {
     this->Step(host, message);
   }
 }
 
-std::size_t Network::Submit(std::size_t host, Duration runs,
+std::size_t Network::Submit(std::size_t host, Duration duration,
                             RequestClass request_class) {
-  const std::size_t id = this->fates.size();
-  Fate fate;
-  fate.host = host;
-  fate.submitted = this->now;
-  this->fates.push_back(fate);
-  this->lengths.push_back(runs);
+  const std::size_t id = this->requests.size();
+  RequestRecord record;
+  record.host = host;
+  record.submitted = this->now;
+  this->requests.push_back(record);
+  this->lengths.push_back(duration);
   SubmitRequest submit;
   submit.request = RequestId{id + 1};
   submit.organisation = OrganisationId{"org"};
@@ -81,29 +81,30 @@
 
 void Network::Step(std::size_t host, const DispatchMessage& message) {
   for (const auto& action : this->hosts[host]->Step(this->now, message)) {
-    this->Act(host, action);
+    this->Apply(host, action);
   }
 }
 
-void Network::Act(std::size_t host, const DispatchAction& action) {
+void Network::Apply(std::size_t host, const DispatchAction& action) {
   if (const auto* place = std::get_if<Place>(&action)) {
     const auto id = static_cast<std::size_t>(place->request.value - 1);
-    Fate& fate = this->fates[id];
-    fate.placed = true;
-    fate.answered = this->now;
-    fate.worker = place->worker;
+    RequestRecord& record = this->requests[id];
+    record.placed = true;
+    record.answered = this->now;
+    record.worker = place->worker;
     std::size_t& count = this->running[place->worker];
     ++count;
-    this->most[place->worker] = std::max(this->most[place->worker], count);
+    this->max_running[place->worker] =
+        std::max(this->max_running[place->worker], count);
     this->ends.emplace(this->now + this->lengths[id], id);
   } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-    Fate& fate = this->fates[refuse->request.value - 1];
-    fate.refused = true;
-    fate.answered = this->now;
+    RequestRecord& record = this->requests[refuse->request.value - 1];
+    record.refused = true;
+    record.answered = this->now;
   } else if (const auto* send = std::get_if<DispatchSend>(&action)) {
     ++this->traffic.messages;
     this->traffic.bytes += send->bytes.size();
-    const bool lost = this->silent.count(host) != 0 ||
+    const bool lost = this->muted.count(host) != 0 ||
                       this->random.Fraction() < this->settings.loss;
     for (std::size_t to = 0; to < this->hosts.size() && !lost; ++to) {
       if (this->Name(to) == send->to) {
@@ -125,8 +126,8 @@
   }
 }
 
-void Network::Reports() {
-  if (this->now - this->reported < kReportEvery) {
+void Network::SendReports() {
+  if (this->now - this->reported < kReportInterval) {
     return;
   }
   this->reported = this->now;
@@ -142,15 +143,15 @@
   }
 }
 
-void Network::Ends() {
+void Network::EndStreams() {
   while (!this->ends.empty() && this->ends.begin()->first <= this->now) {
     const std::size_t id = this->ends.begin()->second;
     this->ends.erase(this->ends.begin());
-    Fate& fate = this->fates[id];
-    fate.ended = true;
-    --this->running[fate.worker];
-    if (this->live.count(fate.host) != 0) {
-      this->Step(fate.host,
+    RequestRecord& record = this->requests[id];
+    record.ended = true;
+    --this->running[record.worker];
+    if (this->live.count(record.host) != 0) {
+      this->Step(record.host,
                  ReportEnded{RequestId{id + 1}, PlacementEnd::kFinished, 100});
     }
   }
@@ -159,10 +160,10 @@
 void Network::Advance(Duration length) {
   const Instant end = this->now + length;
   while (this->now < end) {
-    this->now += kStep;
+    this->now += kTimeStep;
     this->Deliver();
-    this->Reports();
-    this->Ends();
+    this->SendReports();
+    this->EndStreams();
     for (const std::size_t host : this->live) {
       if (this->hosts[host]->NextWakeup() <= this->now) {
         this->Step(host, DispatchTick{});
@@ -171,14 +172,14 @@
   }
 }
 
-std::size_t Network::At(const UpstreamId& worker) const {
+std::size_t Network::StreamsAt(const UpstreamId& worker) const {
   const auto it = this->running.find(worker);
   return it == this->running.end() ? 0 : it->second;
 }
 
-std::size_t Network::MostAt(const UpstreamId& worker) const {
-  const auto it = this->most.find(worker);
-  return it == this->most.end() ? 0 : it->second;
+std::size_t Network::MaxStreamsAt(const UpstreamId& worker) const {
+  const auto it = this->max_running.find(worker);
+  return it == this->max_running.end() ? 0 : it->second;
 }
 
 std::size_t Network::OwnerOf(std::size_t worker) const {
--- a/src/dispatch/tests/network.h
+++ b/src/dispatch/tests/network.h
@@ -14,7 +14,7 @@
 namespace limpetlink::testing {
 
 /// @brief What became of a request.
-struct Fate {
+struct RequestRecord {
   std::size_t host = 0;
   Instant submitted;
   Instant answered;  ///< placed or refused
@@ -45,21 +45,21 @@
   explicit Network(Settings settings);
 
   /// @brief Tells the live hosts who is live; the others are cut off.
-  void SetLive(const std::vector<std::size_t>& now_live);
+  void SetLive(const std::vector<std::size_t>& live_hosts);
   /// @brief Lets a host's messages vanish, though it stays in the lists.
-  void Silence(std::size_t host) { this->silent.insert(host); }
+  void DropMessagesFrom(std::size_t host) { this->muted.insert(host); }
   /// @brief Submits a request whose stream runs for a time.
-  std::size_t Submit(std::size_t host, Duration runs,
+  std::size_t Submit(std::size_t host, Duration duration,
                      RequestClass request_class = RequestClass::kDraft);
   /// @brief Lets virtual time pass.
   void Advance(Duration length);
 
   /// @return streams at a worker now, and the most there ever were
-  std::size_t At(const UpstreamId& worker) const;
-  std::size_t MostAt(const UpstreamId& worker) const;
+  std::size_t StreamsAt(const UpstreamId& worker) const;
+  std::size_t MaxStreamsAt(const UpstreamId& worker) const;
   std::size_t OwnerOf(std::size_t worker) const;
 
-  std::vector<Fate> fates;
+  std::vector<RequestRecord> requests;
   Traffic traffic;
   Instant now;
 
@@ -70,10 +70,10 @@
   };
 
   void Step(std::size_t host, const DispatchMessage& message);
-  void Act(std::size_t host, const DispatchAction& action);
+  void Apply(std::size_t host, const DispatchAction& action);
   void Deliver();
-  void Reports();
-  void Ends();
+  void SendReports();
+  void EndStreams();
   HostId Name(std::size_t host) const;
 
   Settings settings;
@@ -81,12 +81,12 @@
   std::shared_ptr<FleetDocument> document;
   std::vector<std::unique_ptr<Dispatcher>> hosts;
   std::set<std::size_t> live;
-  std::set<std::size_t> silent;
+  std::set<std::size_t> muted;
   std::multimap<Instant, Pending> pending;
   std::multimap<Instant, std::size_t> ends;
   std::vector<Duration> lengths;
   std::map<UpstreamId, std::size_t> running;
-  std::map<UpstreamId, std::size_t> most;
+  std::map<UpstreamId, std::size_t> max_running;
   Instant reported;
 };
 
--- a/src/dispatch/wire.cc
+++ b/src/dispatch/wire.cc
@@ -53,47 +53,53 @@
   explicit Reader(const nlohmann::json& array) : array(array) {}
 
   std::uint64_t Next() {
-    const bool good = this->at < this->array.size() &&
-                      this->array[this->at].is_number_unsigned();
+    const bool good = this->position < this->array.size() &&
+                      this->array[this->position].is_number_unsigned();
     if (!good) {
       this->failed = true;
       return 0;
     }
-    const auto number = this->array[this->at++].get<std::uint64_t>();
+    const auto number = this->array[this->position++].get<std::uint64_t>();
     this->failed = this->failed || number > kMaxNumber;
     return number;
   }
 
-  std::uint32_t NextShort() {
+  std::uint32_t NextUint32() {
     const std::uint64_t number = this->Next();
     this->failed = this->failed || number > UINT32_MAX;
     return static_cast<std::uint32_t>(number);
   }
 
-  Duration NextWait() { return std::chrono::milliseconds(this->NextShort()); }
+  Duration NextDuration() {
+    return std::chrono::milliseconds(this->NextUint32());
+  }
 
   PeerDemand NextDemand() {
     PeerDemand demand;
-    demand.target = this->NextShort();
-    demand.route = this->NextShort();
-    demand.organisation = this->NextShort();
+    demand.target = this->NextUint32();
+    demand.route = this->NextUint32();
+    demand.organisation = this->NextUint32();
     demand.request_class =
         this->Next() == 0 ? RequestClass::kVerdict : RequestClass::kDraft;
-    demand.prompt_tokens = this->NextShort();
-    demand.max_output_tokens = this->NextShort();
+    demand.prompt_tokens = this->NextUint32();
+    demand.max_output_tokens = this->NextUint32();
     return demand;
   }
 
-  bool More() const { return !this->failed && this->at < this->array.size(); }
-  bool Ok() const { return !this->failed && this->at == this->array.size(); }
+  bool HasMore() const {
+    return !this->failed && this->position < this->array.size();
+  }
+  bool IsComplete() const {
+    return !this->failed && this->position == this->array.size();
+  }
 
  private:
   const nlohmann::json& array;
-  std::size_t at = 0;
+  std::size_t position = 0;
   bool failed = false;
 };
 
-void Write(Writer& out, const PeerAsk& message) {
+void Write(Writer& out, const PeerReserve& message) {
   out.Put(message.ticket.value);
   out.Put(message.demand);
   for (const ShortName worker : message.excluded) {
@@ -124,11 +130,11 @@
 
 // Tickets rise, so each is told as the difference to the one before.
 void Write(Writer& out, const PeerSnapshot& message) {
-  std::uint64_t before = 0;
+  std::uint64_t previous = 0;
   for (const PeerProgress& stream : message.streams) {
-    out.Put(stream.ticket.value - before);
+    out.Put(stream.ticket.value - previous);
     out.Put(stream.tokens);
-    before = stream.ticket.value;
+    previous = stream.ticket.value;
   }
 }
 
@@ -156,7 +162,7 @@
   }
 }
 
-void Write(Writer& out, const PeerWants& message) {
+void Write(Writer& out, const PeerLimitRequest& message) {
   WriteLimits(out, message.limits);
 }
 
@@ -164,12 +170,12 @@
   WriteLimits(out, message.limits);
 }
 
-PeerAsk ReadAsk(Reader& in) {
-  PeerAsk message;
+PeerReserve ReadReserve(Reader& in) {
+  PeerReserve message;
   message.ticket.value = in.Next();
   message.demand = in.NextDemand();
-  while (in.More()) {
-    message.excluded.push_back(in.NextShort());
+  while (in.HasMore()) {
+    message.excluded.push_back(in.NextUint32());
   }
   return message;
 }
@@ -180,27 +186,27 @@
   const std::uint64_t end = in.Next();
   const auto last = static_cast<std::uint64_t>(PlacementEnd::kLost);
   message.end = static_cast<PlacementEnd>(std::min(end, last));
-  message.tokens = in.NextShort();
+  message.tokens = in.NextUint32();
   return message;
 }
 
 PeerSnapshot ReadSnapshot(Reader& in) {
   PeerSnapshot message;
   std::uint64_t ticket = 0;
-  while (in.More()) {
+  while (in.HasMore()) {
     ticket += in.Next();
-    message.streams.push_back({Ticket{ticket}, in.NextShort()});
+    message.streams.push_back({Ticket{ticket}, in.NextUint32()});
   }
   return message;
 }
 
 PeerAnnounce ReadAnnounce(Reader& in) {
   PeerAnnounce message;
-  while (in.More()) {
+  while (in.HasMore()) {
     PeerStream stream;
     stream.progress.ticket.value = in.Next();
-    stream.progress.tokens = in.NextShort();
-    stream.worker = in.NextShort();
+    stream.progress.tokens = in.NextUint32();
+    stream.worker = in.NextUint32();
     stream.demand = in.NextDemand();
     message.streams.push_back(stream);
   }
@@ -209,11 +215,11 @@
 
 std::vector<PeerLimit> ReadLimits(Reader& in) {
   std::vector<PeerLimit> limits;
-  while (in.More()) {
+  while (in.HasMore()) {
     PeerLimit limit;
-    limit.organisation = in.NextShort();
-    limit.concurrent = in.NextShort();
-    limit.per_second = in.NextShort() / kRateScale;
+    limit.organisation = in.NextUint32();
+    limit.concurrent = in.NextUint32();
+    limit.per_second = in.NextUint32() / kRateScale;
     limits.push_back(limit);
   }
   return limits;
@@ -221,27 +227,27 @@
 
 PeerMissing ReadMissing(Reader& in) {
   PeerMissing message;
-  while (in.More()) {
+  while (in.HasMore()) {
     message.tickets.push_back(Ticket{in.Next()});
   }
   return message;
 }
 
-std::optional<PeerMessage> ReadKind(Reader& in, std::uint64_t kind) {
+std::optional<PeerMessage> ReadMessage(Reader& in, std::uint64_t kind) {
   switch (kind) {
     case 0:
-      return ReadAsk(in);
+      return ReadReserve(in);
     case 1: {
       const Ticket ticket{in.Next()};
-      return PeerGrant{ticket, in.NextShort()};
+      return PeerGrant{ticket, in.NextUint32()};
     }
     case 2: {
       const Ticket ticket{in.Next()};
-      return PeerQueued{ticket, in.NextWait()};
+      return PeerQueued{ticket, in.NextDuration()};
     }
     case 3: {
       const Ticket ticket{in.Next()};
-      return PeerDeny{ticket, in.NextWait()};
+      return PeerDeny{ticket, in.NextDuration()};
     }
     case 4:
       return ReadRelease(in);
@@ -252,7 +258,7 @@
     case 7:
       return ReadAnnounce(in);
     case 8:
-      return PeerWants{ReadLimits(in)};
+      return PeerLimitRequest{ReadLimits(in)};
     case 9:
       return PeerShares{ReadLimits(in)};
     default:
@@ -290,9 +296,9 @@
   Reader in(array);
   const std::uint64_t kind = in.Next();
   PeerEnvelope envelope;
-  envelope.epoch = in.NextShort();
-  const auto message = ReadKind(in, kind);
-  if (!message || !in.Ok()) {
+  envelope.epoch = in.NextUint32();
+  const auto message = ReadMessage(in, kind);
+  if (!message || !in.IsComplete()) {
     return std::nullopt;
   }
   envelope.message = *message;
--- a/src/dispatch/worker_table.cc
+++ b/src/dispatch/worker_table.cc
@@ -5,17 +5,17 @@
 namespace limpetlink {
 namespace {
 
-constexpr Duration kRebuildBound = std::chrono::seconds(5);
+constexpr Duration kMaxRebuildTime = std::chrono::seconds(5);
 
 const std::vector<UpstreamId> kNoWorkers;
 
-std::vector<HostId> Among(
+std::vector<HostId> FilterHosts(
     const HostView& view,
-    const std::function<bool(const FailureDomainId&)>& fits) {
+    const std::function<bool(const FailureDomainId&)>& predicate) {
   std::vector<HostId> result;
   for (const HostId& host : view.live) {
     const auto domain = view.domains.find(host);
-    if (domain != view.domains.end() && fits(domain->second)) {
+    if (domain != view.domains.end() && predicate(domain->second)) {
       result.push_back(host);
     }
   }
@@ -32,9 +32,9 @@
   const auto same_domain = [&](const FailureDomainId& domain) {
     return domain == upstream.failure_domain;
   };
-  const auto near = Among(this->view, same_domain);
-  if (!near.empty()) {
-    return RendezvousOwner(upstream.id.value, near);
+  const auto in_domain = FilterHosts(this->view, same_domain);
+  if (!in_domain.empty()) {
+    return RendezvousOwner(upstream.id.value, in_domain);
   }
   const auto region = this->regions.find(upstream.failure_domain);
   const auto same_region = [&](const FailureDomainId& domain) {
@@ -42,19 +42,20 @@
     return it != this->regions.end() && region != this->regions.end() &&
            it->second == region->second;
   };
-  const auto around = Among(this->view, same_region);
+  const auto in_region = FilterHosts(this->view, same_region);
   return RendezvousOwner(upstream.id.value,
-                         around.empty() ? this->view.live : around);
+                         in_region.empty() ? this->view.live : in_region);
 }
 
 void WorkerTable::TakeOver(Instant now, Worker& worker) {
   worker.admitter = Admitter(this->policy);
   worker.concurrency = ConcurrencyEstimate();
-  worker.unannounced = {this->view.live.begin(), this->view.live.end()};
-  worker.unannounced.erase(this->self);
-  worker.admitter.Rebuild(now + kRebuildBound);
-  if (worker.unannounced.empty()) {
-    worker.admitter.Announced();
+  worker.awaiting_announcement = {this->view.live.begin(),
+                                  this->view.live.end()};
+  worker.awaiting_announcement.erase(this->self);
+  worker.admitter.BeginRebuild(now + kMaxRebuildTime);
+  if (worker.awaiting_announcement.empty()) {
+    worker.admitter.MarkAnnounced();
   }
 }
 
@@ -71,9 +72,9 @@
     const bool known = it != this->workers.end();
     Worker worker = known ? std::move(it->second) : Worker{};
     worker.upstream = upstream;
-    const HostId before = worker.owner;
+    const HostId previous_owner = worker.owner;
     worker.owner = this->Owner(upstream);
-    if (worker.owner == this->self && before != this->self) {
+    if (worker.owner == this->self && previous_owner != this->self) {
       this->TakeOver(now, worker);
     }
     worker.admitter.SetPolicy(this->policy);
@@ -86,35 +87,35 @@
 void WorkerTable::SetHosts(Instant now, HostView new_view) {
   this->view = std::move(new_view);
   for (auto& [id, worker] : this->workers) {
-    const HostId before = worker.owner;
+    const HostId previous_owner = worker.owner;
     worker.owner = this->Owner(worker.upstream);
-    if (worker.owner == this->self && before != this->self) {
+    if (worker.owner == this->self && previous_owner != this->self) {
       this->TakeOver(now, worker);
     }
-    for (auto it = worker.unannounced.begin();
-         it != worker.unannounced.end();) {
+    for (auto it = worker.awaiting_announcement.begin();
+         it != worker.awaiting_announcement.end();) {
       const bool live =
           std::find(this->view.live.begin(), this->view.live.end(), *it) !=
           this->view.live.end();
-      it = live ? std::next(it) : worker.unannounced.erase(it);
+      it = live ? std::next(it) : worker.awaiting_announcement.erase(it);
     }
-    if (worker.unannounced.empty()) {
-      worker.admitter.Announced();
+    if (worker.awaiting_announcement.empty()) {
+      worker.admitter.MarkAnnounced();
     }
   }
   this->Index();
 }
 
 void WorkerTable::Index() {
-  this->mine.clear();
-  this->others.clear();
+  this->owned.clear();
+  this->remote.clear();
   for (const auto& [id, worker] : this->workers) {
-    auto& group = worker.owner == this->self ? this->mine : this->others;
+    auto& group = worker.owner == this->self ? this->owned : this->remote;
     group[worker.upstream.serves].push_back(id);
   }
 }
 
-bool WorkerTable::Mine(const UpstreamId& worker) const {
+bool WorkerTable::IsOwned(const UpstreamId& worker) const {
   const auto it = this->workers.find(worker);
   return it != this->workers.end() && it->second.owner == this->self;
 }
@@ -129,52 +130,52 @@
   return it == this->workers.end() ? nullptr : &it->second.upstream;
 }
 
-const std::vector<UpstreamId>& WorkerTable::MineOf(
+const std::vector<UpstreamId>& WorkerTable::OwnedWorkersOf(
     const std::string& target) const {
-  const auto it = this->mine.find(target);
-  return it == this->mine.end() ? kNoWorkers : it->second;
+  const auto it = this->owned.find(target);
+  return it == this->owned.end() ? kNoWorkers : it->second;
 }
 
-std::vector<UpstreamId> WorkerTable::AllMine() const {
+std::vector<UpstreamId> WorkerTable::OwnedWorkers() const {
   std::vector<UpstreamId> result;
-  for (const auto& [target, members] : this->mine) {
+  for (const auto& [target, members] : this->owned) {
     result.insert(result.end(), members.begin(), members.end());
   }
   return result;
 }
 
-const std::vector<UpstreamId>& WorkerTable::OthersOf(
+const std::vector<UpstreamId>& WorkerTable::RemoteWorkersOf(
     const std::string& target) const {
-  const auto it = this->others.find(target);
-  return it == this->others.end() ? kNoWorkers : it->second;
+  const auto it = this->remote.find(target);
+  return it == this->remote.end() ? kNoWorkers : it->second;
 }
 
-AdmissionAnswer WorkerTable::Check(Instant now, const UpstreamId& worker,
-                                   const Demand& demand, double share) {
+AdmissionDecision WorkerTable::Check(Instant now, const UpstreamId& worker,
+                                     const Demand& demand, double share) {
   Worker& entry = this->workers.at(worker);
-  if (entry.Engine()) {
+  if (entry.IsEngine()) {
     return entry.admitter.Check(now, demand, share);
   }
-  return entry.concurrency.Check(share) ? AdmissionAnswer::kAdmit
-                                        : AdmissionAnswer::kBatch;
+  return entry.concurrency.Check(share) ? AdmissionDecision::kAdmit
+                                        : AdmissionDecision::kBatch;
 }
 
 void WorkerTable::Add(Instant now, const UpstreamId& worker,
                       const StreamKey& key, const Demand& demand,
                       std::uint32_t produced) {
   Worker& entry = this->workers.at(worker);
-  if (entry.Engine()) {
+  if (entry.IsEngine()) {
     entry.admitter.Add(now, key, demand, produced);
   } else {
     entry.concurrency.Add(key);
   }
 }
 
-void WorkerTable::Produced(Instant now, const UpstreamId& worker,
-                           const StreamKey& key, std::uint32_t tokens) {
+void WorkerTable::RecordProduced(Instant now, const UpstreamId& worker,
+                                 const StreamKey& key, std::uint32_t tokens) {
   const auto it = this->workers.find(worker);
-  if (it != this->workers.end() && it->second.Engine()) {
-    it->second.admitter.Produced(now, key, tokens);
+  if (it != this->workers.end() && it->second.IsEngine()) {
+    it->second.admitter.RecordProduced(now, key, tokens);
   }
 }
 
@@ -183,8 +184,8 @@
   if (it == this->workers.end()) {
     return false;
   }
-  return it->second.Engine() ? it->second.admitter.Remove(key)
-                             : it->second.concurrency.Remove(key);
+  return it->second.IsEngine() ? it->second.admitter.Remove(key)
+                               : it->second.concurrency.Remove(key);
 }
 
 void WorkerTable::RemoveHolder(const HostId& holder) {
@@ -200,7 +201,7 @@
   if (it == this->workers.end()) {
     return;
   }
-  if (it->second.Engine()) {
+  if (it->second.IsEngine()) {
     it->second.admitter.Report(now, load);
   } else {
     it->second.concurrency.Report(load.running, load.waiting);
@@ -209,7 +210,7 @@
 
 void WorkerTable::ObserveVerdict(const std::string& target,
                                  const Demand& demand, double waiting) {
-  const std::vector<UpstreamId>& members = this->MineOf(target);
+  const std::vector<UpstreamId>& members = this->OwnedWorkersOf(target);
   const double count = static_cast<double>(members.size());
   double in_progress = waiting + 1;
   for (const UpstreamId& id : members) {
@@ -220,22 +221,22 @@
   }
 }
 
-void WorkerTable::Announced(const HostId& from) {
+void WorkerTable::RecordAnnouncement(const HostId& from) {
   for (auto& [id, worker] : this->workers) {
-    const bool awaited = worker.unannounced.erase(from) != 0;
-    if (awaited && worker.unannounced.empty()) {
-      worker.admitter.Announced();
+    const bool awaited = worker.awaiting_announcement.erase(from) != 0;
+    if (awaited && worker.awaiting_announcement.empty()) {
+      worker.admitter.MarkAnnounced();
     }
   }
 }
 
-double WorkerTable::Fill(const UpstreamId& worker) const {
+double WorkerTable::Utilisation(const UpstreamId& worker) const {
   const auto it = this->workers.find(worker);
   if (it == this->workers.end()) {
     return 0;
   }
-  return it->second.Engine() ? it->second.admitter.Fill()
-                             : it->second.concurrency.Fill();
+  return it->second.IsEngine() ? it->second.admitter.Utilisation()
+                               : it->second.concurrency.Utilisation();
 }
 
 }  // namespace limpetlink
