--- a/src/admission/tests/admitter_test.cc
+++ b/src/admission/tests/admitter_test.cc
@@ -45,9 +45,9 @@
   Admitter admitter(MakeAdmissionPolicy({0.5, 0.5, 0.5}));
   admitter.Report(At(0), this->load);
   const std::uint64_t count = this->FillWithStreams(admitter);
-  CHECK(count >= 8);   // the worst case would admit one
-  CHECK(count <= 13);  // current use would admit sixty
-  SECTION("an end makes room again") {
+  CHECK(count >= 8);   // reserving the worst case would admit one
+  CHECK(count <= 13);  // checking current use only would admit sixty
+  SECTION("a removed stream frees capacity") {
     CHECK(admitter.Remove(this->Key(1)));
     CHECK(admitter.Check(At(0), this->demand, 1.0) ==
           AdmissionDecision::kAdmit);
@@ -55,7 +55,7 @@
 }
 
 TEST_CASE_METHOD(AdmitterFixture,
-                 "admitter, preemption weighs more, admits fewer",
+                 "admitter, higher preemption weight, admits fewer",
                  "[admission]") {
   Admitter restricted(MakeAdmissionPolicy({0.5, 1.0, 0.5}));
   Admitter bold(MakeAdmissionPolicy({0.5, 0.0, 0.5}));
@@ -72,7 +72,7 @@
 }
 
 TEST_CASE_METHOD(AdmitterFixture,
-                 "admitter, verdicts come often, drafts leave them room",
+                 "admitter, verdicts arrive often, drafts leave headroom",
                  "[admission]") {
   Admitter admitter(MakeAdmissionPolicy({1.0, 0.5, 0.5}));
   admitter.Report(At(0), this->load);
@@ -117,7 +117,8 @@
   CHECK(last < StreamPriority(RequestClass::kVerdict, 0));
 }
 
-TEST_CASE("length model, key is new, takes the coarser key", "[admission]") {
+TEST_CASE("length model, unknown key, falls back to the coarser key",
+          "[admission]") {
   LengthModel model;
   for (int i = 0; i < 100; ++i) {
     model.Observe({"m", "r", OrganisationId{"big"}}, 20);
@@ -128,7 +129,7 @@
   CHECK(model.Find(other).Mean(4096) > 100);
 }
 
-TEST_CASE("length histogram, stream grows old, more is expected",
+TEST_CASE("length histogram, long output, is expected to continue",
           "[admission]") {
   LengthHistogram lengths;
   for (std::uint32_t i = 0; i < 500; ++i) {
--- a/src/admission/tests/lengths_test.cc
+++ b/src/admission/tests/lengths_test.cc
@@ -8,7 +8,7 @@
 
 constexpr std::uint64_t kBound = 8192;
 
-/// @brief Draws a normal deviate; twelve uniform ones are near enough.
+/// @brief Draws an approximately normal deviate from twelve uniform ones.
 double Deviate(Random* random) {
   double sum = -6.0;
   for (int i = 0; i < 12; ++i) {
@@ -20,7 +20,7 @@
 }  // namespace
 
 TEST_CASE(
-    "guessed lengths, guesses are right at the median and scatter, the sum of "
+    "length hint estimator, scattered hints with a correct median, the sum of "
     "the estimates is near the sum of the lengths",
     "[admission]") {
   constexpr double kMedian = 600.0;
@@ -42,7 +42,8 @@
   CHECK(expected < 1.2 * actual);
 }
 
-TEST_CASE("guessed lengths, one wild guess, counts little", "[admission]") {
+TEST_CASE("length hint estimator, one outlier, has little weight",
+          "[admission]") {
   LengthHintEstimator lengths;
   for (int i = 0; i < 8; ++i) {
     lengths.Estimate("draft", 600, kBound);
@@ -51,7 +52,8 @@
   CHECK(lengths.Estimate("draft", 600, kBound) < 1100.0);
 }
 
-TEST_CASE("guessed lengths, guess of nothing, still a token", "[admission]") {
+TEST_CASE("length hint estimator, hint of zero, estimates one token",
+          "[admission]") {
   LengthHintEstimator lengths;
   CHECK(lengths.Estimate("check", 0, 0) == 1.0);
 }
--- a/src/dispatch/tests/dispatcher_test.cc
+++ b/src/dispatch/tests/dispatcher_test.cc
@@ -66,32 +66,32 @@
 };
 
 TEST_CASE_METHOD(DispatcherFixture,
-                 "dispatcher, workers near and far, places at the near one",
+                 "dispatcher, workers near and far, places at the near worker",
                  "[dispatch]") {
   this->Report(0, "near");
   this->Report(0, "far");
   CHECK(this->PlacedAt(1, this->Request(1)) == "near");
-  SECTION("the near one is excluded") {
+  SECTION("the near worker is excluded") {
     SubmitRequest request = this->Request(2);
     request.excluded = {UpstreamId{"near"}};
     CHECK(this->PlacedAt(2, request) == "far");
   }
-  SECTION("the near one leaves by its own report") {
+  SECTION("the near worker reports that it is draining") {
     this->Report(2, "near", true);
     CHECK(this->PlacedAt(3, this->Request(2)) == "far");
-    SECTION("a late report cannot clear it, a fresh one does") {
+    SECTION("an early report does not clear the state, a later one does") {
       this->Report(500, "near");
       CHECK(this->PlacedAt(501, this->Request(3)) == "far");
       this->Report(2500, "near");
       CHECK(this->PlacedAt(2501, this->Request(4)) == "near");
     }
   }
-  SECTION("the near one refuses a connection") {
+  SECTION("the near worker refuses a connection") {
     this->dispatcher.Step(
         At(2), ReportEnded{RequestId{1}, PlacementEnd::kNotConnected, 0});
     CHECK(this->PlacedAt(3, this->Request(2)) == "far");
   }
-  SECTION("both are leaving in the host list") {
+  SECTION("the host list marks both workers as leaving") {
     for (const char* id : {"near", "far"}) {
       this->dispatcher.Step(
           At(2), SetWorkerState{UpstreamId{id}, WorkerState::kLeaving});
@@ -107,7 +107,7 @@
 }
 
 TEST_CASE_METHOD(DispatcherFixture,
-                 "dispatcher, all workers full, every wait ends",
+                 "dispatcher, all workers full, waiting request is answered",
                  "[dispatch]") {
   std::uint64_t id = 0;
   while (!this->PlacedAt(0, this->Request(++id)).empty()) {
@@ -131,7 +131,7 @@
 }
 
 TEST_CASE_METHOD(DispatcherFixture,
-                 "dispatcher, a stream ends, the first waiting is placed",
+                 "dispatcher, stream ends, first waiting request is placed",
                  "[dispatch]") {
   std::uint64_t id = 0;
   while (!this->PlacedAt(0, this->Request(++id)).empty()) {
@@ -144,9 +144,10 @@
   CHECK(place->request == RequestId{id});
 }
 
-TEST_CASE_METHOD(DispatcherFixture,
-                 "dispatcher, retries pass a tenth of the work, are refused",
-                 "[dispatch]") {
+TEST_CASE_METHOD(
+    DispatcherFixture,
+    "dispatcher, retries exceed a tenth of the requests, are refused",
+    "[dispatch]") {
   this->Report(0, "near");
   std::uint64_t id = 0;
   for (int i = 0; i < 100; ++i) {
--- a/src/dispatch/tests/hosts_test.cc
+++ b/src/dispatch/tests/hosts_test.cc
@@ -47,7 +47,7 @@
   CHECK(owners.count(6) == 0);
 }
 
-TEST_CASE("dispatchers, host owns no worker, is granted one by the owner",
+TEST_CASE("dispatchers, host owns no worker, is granted a slot by the owner",
           "[dispatch]") {
   Network network(MakeSettings(2, 1, 0, 1));
   const std::size_t other = 1 - network.OwnerOf(0);
@@ -58,7 +58,7 @@
   const Duration latency =
       network.requests[id].answered - network.requests[id].submitted;
   CHECK(latency <= std::chrono::milliseconds(60));
-  SECTION("the owner counts it and the end frees it") {
+  SECTION("the owner counts the granted stream") {
     const std::size_t owner = 1 - other;
     const auto fill = [&] {
       std::size_t count = 0;
@@ -96,7 +96,8 @@
     INFO("seed " << seed);
     CHECK(Unanswered(network) == 0);
     CHECK(CountPlaced(network) >= 140);
-    // No placement of the past holds room any more: the workers fill anew.
+    // Checks that no earlier placement still occupies a slot: new requests fill
+    // the workers again.
     const std::size_t before = CountPlaced(network);
     for (int i = 0; i < 12; ++i) {
       network.Submit(random.Below(4), 2 * kSecond);
@@ -106,7 +107,7 @@
   }
 }
 
-TEST_CASE("dispatchers, owner is gone, the new one knows what runs",
+TEST_CASE("dispatchers, owner is removed, new owner knows the running streams",
           "[dispatch]") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     Network network(MakeSettings(3, 1, 0.1, seed));
@@ -127,15 +128,18 @@
     }
     network.Advance(10 * kSecond);
     INFO("seed " << seed << " full " << full);
-    // Two owners in turn may differ by what one lost announcement hides.
+    // A lost announcement hides placements from the new owner, so the two
+    // owners may together place a few more streams than fit.
     CHECK(network.MaxStreamsAt(worker) <= full + 4);
     network.Advance(120 * kSecond);
     CHECK(Unanswered(network) == 0);
   }
 }
 
-TEST_CASE("dispatchers, owner is silent, few requests go without a grant",
-          "[dispatch]") {
+TEST_CASE(
+    "dispatchers, owner is unresponsive, few requests are placed without a "
+    "grant",
+    "[dispatch]") {
   Network network(MakeSettings(2, 1, 0, 1));
   const std::size_t owner = network.OwnerOf(0);
   network.Advance(2 * kSecond);
@@ -150,7 +154,7 @@
   CHECK(Unanswered(network) == 0);
 }
 
-TEST_CASE("dispatchers, bytes are not a message, are ignored", "[dispatch]") {
+TEST_CASE("dispatchers, malformed bytes, are ignored", "[dispatch]") {
   Network network(MakeSettings(1, 1, 0, 1));
   Dispatcher dispatcher({HostId{"a"}, FailureDomainId{"d"}, 1, nullptr});
   dispatcher.Step(Instant{}, Configure{std::make_shared<FleetDocument>()});
--- a/src/dispatch/tests/network.h
+++ b/src/dispatch/tests/network.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Dispatchers of several hosts joined by a network that delays and
-/// loses, in virtual time.
+/// @brief Simulates the dispatchers of several hosts in virtual time, joined by
+/// a network that delays and loses messages.
 #pragma once
 
 #include <map>
@@ -13,7 +13,7 @@
 
 namespace limpetlink::testing {
 
-/// @brief What became of a request.
+/// @brief The state of a submitted request.
 struct RequestRecord {
   std::size_t host = 0;
   Instant submitted;
@@ -24,13 +24,14 @@
   bool ended = false;
 };
 
-/// @brief Counts of a run.
+/// @brief Message counters of a run.
 struct Traffic {
   std::uint64_t messages = 0;
   std::uint64_t bytes = 0;
 };
 
-/// @brief Hosts, workers that run each stream for a fixed time, and a network.
+/// @brief Simulates hosts, workers that run each stream for a fixed time, and
+/// the network between the hosts.
 class Network {
  public:
   struct Settings {
@@ -44,17 +45,19 @@
 
   explicit Network(Settings settings);
 
-  /// @brief Tells the live hosts who is live; the others are cut off.
+  /// @brief Sets the live hosts and sends them the new list; the others are
+  /// disconnected.
   void SetLive(const std::vector<std::size_t>& live_hosts);
-  /// @brief Lets a host's messages vanish, though it stays in the lists.
+  /// @brief Drops all messages from a host, though it stays in the list of live
+  /// hosts.
   void DropMessagesFrom(std::size_t host) { this->muted.insert(host); }
-  /// @brief Submits a request whose stream runs for a time.
+  /// @brief Submits a request whose stream runs for the given duration.
   std::size_t Submit(std::size_t host, Duration duration,
                      RequestClass request_class = RequestClass::kDraft);
-  /// @brief Lets virtual time pass.
+  /// @brief Advances virtual time.
   void Advance(Duration length);
 
-  /// @return streams at a worker now, and the most there ever were
+  /// @return streams at a worker now, and the maximum so far
   std::size_t StreamsAt(const UpstreamId& worker) const;
   std::size_t MaxStreamsAt(const UpstreamId& worker) const;
   std::size_t OwnerOf(std::size_t worker) const;
