--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Decides when one worker may take a request whose output length is
+/// @brief Decides when a worker may start a request whose output length is
 /// unknown.
 #pragma once
 
--- a/src/admission/admitter.cc
+++ b/src/admission/admitter.cc
@@ -11,12 +11,12 @@
 constexpr Duration kRefreshEvery = std::chrono::milliseconds(100);
 constexpr double kCorrectionGain = 0.1;      // per report
 constexpr double kMaxUnreportedStreams = 4;  // before the first report
-constexpr double kMinBatch = 8;              // streams, whatever was learnt
+constexpr double kMinBatch = 8;  // streams; lower limit of the fitted cap
 constexpr double kPageTokens = 16;
 constexpr double kMinSurvivalFraction = 0.1;
 constexpr std::int32_t kVerdictPriority = 1000;
-constexpr std::uint64_t kFirstPriorityLevelTokens =
-    64;  // tokens; each level is four times
+// Tokens; each further level needs four times as many.
+constexpr std::uint64_t kFirstPriorityLevelTokens = 64;
 constexpr double kUncappedBatch = 1e9;
 
 double OverflowProbability(double mean, double variance, double limit) {
@@ -106,7 +106,8 @@
   }
   const Moments added = ComputeMoments(demand, 0);
   for (std::size_t i = 0; i < kHorizons; ++i) {
-    // A request is not held back for a time at which it is likely over.
+    // Horizons at which the request has probably finished don't count against
+    // its admission.
     const bool likely_finished =
         added.mean[i] < kMinSurvivalFraction * added.mean[0];
     if (likely_finished) {
--- a/src/admission/detail/admitter.h
+++ b/src/admission/detail/admitter.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The account of one worker and the decision whether it may take more.
+/// @brief Load accounting and admission decisions for one worker.
 #pragma once
 
 #include <array>
@@ -18,34 +18,35 @@
 
 namespace limpetlink {
 
-/// @brief A stream and the entry host that holds it.
+/// @brief Identifies a stream by its ticket and the entry host that holds it.
 struct StreamKey {
   HostId holder;
-  Ticket ticket;  ///< the holder's number for it
+  Ticket ticket;  ///< number assigned by the holder
 
   friend bool operator<(const StreamKey& a, const StreamKey& b) {
     return a.ticket == b.ticket ? a.holder < b.holder : a.ticket < b.ticket;
   }
 };
 
-/// @brief What a request asks of a worker.
+/// @brief The resources that a request requires of a worker.
 struct Demand {
   RequestClass request_class = RequestClass::kDraft;
   std::uint32_t prompt_tokens = 0;
-  std::uint32_t cached_tokens = 0;  ///< of the prompt, likely in the cache
+  /// Part of the prompt that is likely cached.
+  std::uint32_t cached_tokens = 0;
   std::uint32_t max_output_tokens = 0;
-  const LengthHistogram* lengths = nullptr;  ///< outlives the stream
+  const LengthHistogram* lengths = nullptr;  ///< must outlive the stream
 };
 
-/// @brief Whether a worker may take a request now, else what stands against it.
+/// @brief Whether a worker may start a request now, else the reason against it.
 enum class AdmissionDecision {
   kAdmit,
-  kMemory,    ///< the risk that memory overflows is too high
+  kMemory,    ///< the risk of a memory overflow is too high
   kBatch,     ///< the batch is at its cap
-  kPrefill,   ///< enough prompts are being read
-  kHeadroom,  ///< the room left is kept for verdicts
-  kRebuild,   ///< the account is being rebuilt
-  kTooLong,   ///< can never fit this worker
+  kPrefill,   ///< too many prompt tokens are in prefill
+  kHeadroom,  ///< the remaining capacity is reserved for verdicts
+  kRebuild,   ///< the load accounting is being rebuilt
+  kTooLong,   ///< the prompt exceeds the worker's memory
 };
 
 template <>
@@ -60,12 +61,12 @@
       {AdmissionDecision::kTooLong, "too_long"}};
 };
 
-/// @brief Gives the priority of a stream at its engine: verdicts above drafts,
+/// @brief Computes a stream's priority at its engine: verdicts above drafts,
 /// then a level that rises each time the output has grown fourfold.
-/// @return higher is kept longer
+/// @return the priority; the engine keeps streams of higher priority longer
 std::int32_t StreamPriority(RequestClass request_class, std::uint32_t produced);
 
-/// @brief A worker's own report, as far as admission reads it.
+/// @brief The part of a worker's report that admission uses.
 struct EngineLoad {
   std::uint64_t memory_tokens = 0;
   std::uint64_t memory_tokens_used = 0;
@@ -74,72 +75,76 @@
   Duration step_time{0};
 };
 
-/// @brief Keeps the exact account of what was placed at one worker; lagging
-/// reports correct it.
+/// @brief Tracks the placements at one worker exactly and decides whether it
+/// may start another request; the worker's lagging reports correct the
+/// estimate.
 /// @note Example:
 /// @code
 /// Admitter admitter(MakeAdmissionPolicy(document.weights));
-/// if (admitter.Check(now, demand, 1.0) == AdmissionAnswer::kAdmit) {
+/// if (admitter.Check(now, demand, 1.0) == AdmissionDecision::kAdmit) {
 ///   admitter.Add(now, key, demand, 0);
 /// }
 /// @endcode
 class Admitter {
  public:
-  /// @param policy bounds from the weights
+  /// @param policy limits derived from the weights
   explicit Admitter(AdmissionPolicy policy);
 
-  /// @brief Takes new weights in.
+  /// @brief Applies a new policy.
   void SetPolicy(AdmissionPolicy new_policy);
 
-  /// @brief Says whether a request may start now.
+  /// @brief Decides whether a request may start now.
   /// @param now core time
-  /// @param demand what it asks
+  /// @param demand the request's requirements
   /// @param share fraction of the worker that may be used, in (0, 1]
   /// @note Complexity: constant between refreshes (ten a second), which are
   /// linear in the worker's streams.
   AdmissionDecision Check(Instant now, const Demand& demand, double share);
 
-  /// @brief Enters a stream into the account.
+  /// @brief Records the placement of a stream.
   /// @param produced tokens it has already produced (a re-announced stream)
   void Add(Instant now, const StreamKey& key, const Demand& demand,
            std::uint32_t produced);
 
-  /// @brief Counts produced tokens; a number below the last one is ignored.
-  /// @param tokens produced in all
-  /// @return whether the stream is in the account
+  /// @brief Records produced tokens; a number below the last one is ignored.
+  /// @param tokens total number of tokens produced
+  /// @return whether the stream is tracked
   bool RecordProduced(Instant now, const StreamKey& key, std::uint32_t tokens);
 
-  /// @brief Takes a stream out of the account.
-  /// @return whether it was there
+  /// @brief Removes a stream.
+  /// @return whether it was tracked
   bool Remove(const StreamKey& key);
 
-  /// @brief Drops every stream of a holder, as when it is gone.
+  /// @brief Removes every stream of a holder, for example after the host
+  /// failed.
   void RemoveHolder(const HostId& holder);
 
-  /// @brief Takes a report in.
+  /// @brief Applies a load report.
   void Report(Instant now, const EngineLoad& load);
 
-  /// @brief Learns headroom from a verdict's arrival, admitted or not.
+  /// @brief Updates the verdict headroom on a verdict's arrival, admitted or
+  /// not.
   void ObserveVerdict(const Demand& demand, double in_progress);
 
-  /// @brief Admits with care until a report and the holders' announcements
-  /// have come, at the latest until a time.
+  /// @brief Restricts admission until a report and all holders' announcements
+  /// have arrived, at most until the given time.
   void BeginRebuild(Instant until);
 
-  /// @brief The holders' announcements have come.
+  /// @brief Marks all holders' announcements as received.
   void MarkAnnounced() { this->announced = true; }
 
-  /// @return streams in the account
+  /// @return number of tracked streams
   std::size_t Size() const { return this->streams.size(); }
-  /// @return verdicts in the account
+  /// @return number of tracked verdicts
   std::uint32_t Verdicts() const { return this->verdicts; }
-  /// @return whether a stream is in the account
+  /// @return whether a stream is tracked
   bool Contains(const StreamKey& key) const {
     return this->streams.count(key) != 0;
   }
-  /// @return fill in [0, 1] or above, the larger of memory and batch
+  /// @return utilisation of memory or batch, whichever is larger; 1 when full,
+  /// may exceed 1
   double Utilisation() const;
-  /// @return the largest number of streams at once, after what was learnt
+  /// @return the largest number of concurrent streams, fitted to the reports
   double BatchCap() const;
 
  private:
@@ -155,7 +160,7 @@
     Demand demand;
     std::uint32_t produced = 0;
     Instant added;
-    double prefill_at_add = 0;  ///< in flight when it was added, with its own
+    double prefill_at_add = 0;  ///< prefill tokens in flight after its addition
     Moments moments;
   };
 
@@ -175,14 +180,14 @@
   std::map<StreamKey, Stream> streams;
   Moments sums;
   double memory_now = 0;
-  double prefill = 0;  ///< prompt tokens admitted and not yet read
+  double prefill = 0;  ///< prompt tokens admitted and not yet processed
   std::uint32_t verdicts = 0;
   VerdictHeadroom headroom;
-  LinearRegression step_fit;     ///< step time over streams
+  LinearRegression step_fit;     ///< step time over number of streams
   LinearRegression prefill_fit;  ///< time to first token over prefill in flight
   double capacity = 0;           ///< tokens; 0 before the first report
-  double unaccounted_tokens =
-      0;  ///< tokens used that the account does not explain
+  /// Tokens in use that the tracked streams do not account for.
+  double unaccounted_tokens = 0;
   std::uint32_t engine_waiting = 0;
   Instant refreshed;
   Instant rebuild_until;
--- a/src/admission/detail/concurrency.h
+++ b/src/admission/detail/concurrency.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief How many requests a service worker may run at once.
+/// @brief Estimates how many requests a service worker can run concurrently.
 #pragma once
 
 #include <cstdint>
@@ -9,33 +9,34 @@
 
 namespace limpetlink {
 
-/// @brief Learns a service worker's concurrency from its reports: it grows
-/// while nothing waits there, and falls to what runs when something does.
+/// @brief Estimates a service worker's concurrency from its reports: the cap
+/// grows while no request waits at the worker, and falls to the number of
+/// running requests when one does.
 class ConcurrencyEstimate {
  public:
-  /// @brief Says whether one more may start.
+  /// @brief Decides whether one more request may start.
   /// @param share fraction of the worker that may be used, in (0, 1]
   bool Check(double share) const;
 
-  /// @brief Enters a request.
+  /// @brief Records the placement of a request.
   void Add(const StreamKey& key) { this->running.insert(key); }
 
-  /// @brief Takes a request out.
-  /// @return whether it was there
+  /// @brief Removes a request.
+  /// @return whether it was tracked
   bool Remove(const StreamKey& key) { return this->running.erase(key) != 0; }
 
-  /// @brief Drops every request of a holder.
+  /// @brief Removes every request of a holder.
   void RemoveHolder(const HostId& holder);
 
-  /// @brief Takes a report in.
+  /// @brief Applies a load report.
   void Report(std::uint32_t reported_running, std::uint32_t reported_waiting);
 
-  /// @return whether a request is in the account
+  /// @return whether a request is tracked
   bool Contains(const StreamKey& key) const {
     return this->running.count(key) != 0;
   }
 
-  /// @return fill, 1 being full
+  /// @return utilisation, 1 when full
   double Utilisation() const {
     return static_cast<double>(this->running.size()) / this->cap;
   }
--- a/src/admission/detail/headroom.h
+++ b/src/admission/detail/headroom.h
@@ -1,27 +1,26 @@
 /// @file
-/// @brief Room that drafts leave to verdicts.
+/// @brief Estimates the capacity that drafts leave free for verdicts.
 #pragma once
 
 #include <cstdint>
 
 namespace limpetlink {
 
-/// @brief Learns how many verdicts are in progress at once from the verdicts'
-/// own arrivals.
+/// @brief Estimates the number of concurrent verdicts from their arrivals.
 class VerdictHeadroom {
  public:
-  /// @brief Counts an arrival.
-  /// @param in_progress verdicts in progress that it finds, with itself
-  /// @param tokens memory it is expected to need
+  /// @brief Records an arrival.
+  /// @param in_progress verdicts in progress, including this one
+  /// @param tokens expected memory use, in tokens
   void Observe(double in_progress, double tokens);
 
-  /// @brief Gives the batch places to keep free.
+  /// @brief Computes the number of batch slots to keep free.
   /// @param in_progress verdicts in progress now
   /// @param deviations how many standard deviations above the mean to cover
-  /// @return places, 0 while no verdict has come
+  /// @return slots; 0 before the first verdict
   double Slots(double in_progress, double deviations) const;
 
-  /// @return memory that one verdict needs, in tokens
+  /// @return average memory use of a verdict, in tokens
   double TokensPerVerdict() const { return this->tokens; }
 
  private:
--- a/src/admission/detail/lengths.h
+++ b/src/admission/detail/lengths.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Output lengths learnt online.
+/// @brief Online estimates of output lengths.
 #pragma once
 
 #include <array>
@@ -12,36 +12,36 @@
 
 namespace limpetlink {
 
-/// @brief Decaying histogram of output lengths with geometric buckets, four an
+/// @brief Decaying histogram of output lengths with geometric buckets, four per
 /// octave.
-/// @note Beyond what was observed the distribution falls as 1/length, so an
+/// @note Beyond the observed lengths the distribution falls as 1/length, so an
 /// empty histogram is a usable prior.
 class LengthHistogram {
  public:
-  /// @brief Counts one finished output. Older outputs lose weight.
+  /// @brief Records one finished output. Older outputs lose weight.
   /// @param tokens the output's length
   /// @note Complexity: linear in the number of buckets (a constant).
   void Observe(std::uint32_t tokens);
 
-  /// @brief Gives the share of outputs that are longer than a length.
+  /// @brief Estimates the fraction of outputs that are longer than a length.
   /// @param tokens the length
   /// @return a fraction in (0, 1]; falls as the length grows
   /// @note Complexity: constant.
   double Survival(std::uint32_t tokens) const;
 
-  /// @brief Gives the share of outputs that go on for `ahead` more tokens, of
-  /// those that have reached `produced`.
+  /// @brief Estimates the probability that an output of `produced` tokens
+  /// continues for `ahead` more tokens.
   double ContinuationProbability(std::uint32_t produced,
                                  std::uint32_t ahead) const {
     return this->Survival(produced + ahead) / this->Survival(produced);
   }
 
-  /// @brief Estimates the length of a whole output.
-  /// @param bound the longest output possible
+  /// @brief Estimates the mean length of an output.
+  /// @param max_tokens the longest possible output
   /// @return expected tokens, at least 1
   double Mean(std::uint32_t max_tokens) const;
 
-  /// @return weight of the outputs observed, after decay
+  /// @return total weight of the observed outputs, after decay
   double Weight() const { return this->total; }
 
  private:
@@ -58,16 +58,16 @@
   double total = 0;
 };
 
-/// @brief Estimates output lengths from callers' guesses alone. Guesses are
-/// right at the median and often far off, so each is drawn towards the
-/// median of the guesses for its route. No output has to end first: a host
-/// with few requests learns from a handful of arrivals.
+/// @brief Estimates output lengths from callers' length hints alone. Hints are
+/// right at the median but often far off, so each is shrunk towards the median
+/// of the hints for its route. No output has to finish first: a host with few
+/// requests adapts after a handful of arrivals.
 class LengthHintEstimator {
  public:
-  /// @brief Counts a guess and estimates its output's length.
-  /// @param route requests with like outputs
-  /// @param guess of the caller, tokens
-  /// @param bound the longest output possible, tokens
+  /// @brief Records a hint and estimates its output's length.
+  /// @param route groups requests with similar outputs
+  /// @param hint the caller's estimate, tokens
+  /// @param max_tokens the longest possible output, tokens
   /// @return expected tokens, at least 1
   /// @note Complexity: logarithmic in the number of routes.
   double Estimate(const std::string& route, std::uint64_t hint,
@@ -76,13 +76,13 @@
  private:
   struct Hints {
     double count = 0;
-    double mean_log = 0;  ///< of the latest guesses
+    double mean_log = 0;  ///< of the latest hints
   };
 
   std::map<std::string, Hints> by_route;
 };
 
-/// @brief What an output's length may depend on.
+/// @brief The properties of a request that its output length may depend on.
 struct LengthKey {
   std::string model;
   std::string route;
@@ -94,14 +94,14 @@
   }
 };
 
-/// @brief Histograms by (model, route, organisation) with coarser keys behind
-/// them.
+/// @brief Histograms by (model, route, organisation), with coarser keys as
+/// fallback.
 class LengthModel {
  public:
-  /// @brief Counts a finished output under its key and the coarser ones.
+  /// @brief Records a finished output under its key and the coarser ones.
   void Observe(const LengthKey& key, std::uint32_t tokens);
 
-  /// @brief Finds the finest histogram that has seen enough outputs.
+  /// @brief Finds the histogram of the finest key with enough observed outputs.
   /// @return a histogram that lives as long as this model
   /// @note Complexity: logarithmic in the number of keys.
   const LengthHistogram& Find(const LengthKey& key) const;
--- a/src/admission/detail/queue.h
+++ b/src/admission/detail/queue.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Requests that wait for a worker of one target.
+/// @brief Queues of requests that wait for a worker of one target.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +13,19 @@
 
 namespace limpetlink {
 
-/// @brief A host's own number for an attempt to get a request placed; never
-/// used again.
+/// @brief A host's number for one attempt to place a request; never reused.
 using Ticket = NumberId<struct TicketTag>;
 
-/// @brief Learns how fast a queue drains.
+/// @brief Estimates how fast a queue drains.
 class DrainRate {
  public:
-  /// @brief Counts departures of a queue that was not empty.
+  /// @brief Records a departure from the queue.
   void Observe(Instant now);
 
-  /// @brief Starts a busy time: the queue was empty before.
+  /// @brief Starts a busy period when a request joins an empty queue.
   void BeginBusyPeriod(Instant now);
 
-  /// @return departures a second; 0 while unknown
+  /// @return departures per second; 0 while unknown
   double PerSecond(Instant now) const;
 
  private:
@@ -35,41 +34,42 @@
   Instant last;
 };
 
-/// @brief Queue of one class with a line for each organisation; which
-/// organisation is next is the caller's choice.
+/// @brief Queue of one request class, with a FIFO queue for each organisation;
+/// the caller chooses which organisation is served next.
 class WaitQueue {
  public:
-  /// @brief Appends a request to its organisation's line.
+  /// @brief Appends a request to its organisation's queue.
   void Push(Instant now, const OrganisationId& organisation, Ticket ticket);
 
-  /// @brief Takes a request out wherever it stands.
-  /// @param served whether it goes to a worker, which counts as drained
-  /// @return whether it was there
+  /// @brief Removes a request from any position.
+  /// @param served whether it goes to a worker, which counts towards the drain
+  /// rate
+  /// @return whether it was queued
   bool Erase(Instant now, const OrganisationId& organisation, Ticket ticket,
              bool served);
 
-  /// @return organisations with someone waiting, in order of their names
+  /// @return organisations with waiting requests, sorted by name
   std::vector<OrganisationId> Organisations() const;
 
-  /// @return the first in an organisation's line, or nothing
+  /// @return the first request in an organisation's queue, or nothing
   std::optional<Ticket> Front(const OrganisationId& organisation) const;
 
-  /// @return requests waiting
+  /// @return number of waiting requests
   std::size_t Size() const { return this->size; }
 
-  /// @return requests of an organisation waiting
+  /// @return number of an organisation's waiting requests
   std::size_t QueueLength(const OrganisationId& organisation) const;
 
-  /// @return how many stand before a request in its organisation's line; the
-  /// line's length for one that is not there
-  /// @note Complexity: linear in the line.
+  /// @return number of requests ahead of a request in its organisation's queue;
+  /// the queue's length if the request is not queued
+  /// @note Complexity: linear in the queue's length.
   std::size_t Position(const OrganisationId& organisation, Ticket ticket) const;
 
-  /// @return organisations with someone waiting
+  /// @return number of organisations with waiting requests
   std::size_t OrganisationCount() const { return this->queues.size(); }
 
-  /// @brief Estimates how long a request waits that has `ahead` before it.
-  /// @return the estimate, or nothing while no drain rate is known
+  /// @brief Estimates the wait of a request with `ahead` requests before it.
+  /// @return the estimate, or nothing while the drain rate is unknown
   std::optional<Duration> ExpectedWait(Instant now, std::size_t ahead) const;
 
  private:
--- a/src/admission/detail/regression.h
+++ b/src/admission/detail/regression.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A line fitted online with forgetting.
+/// @brief Online linear regression with exponential forgetting.
 #pragma once
 
 #include <optional>
@@ -12,9 +12,9 @@
   /// @brief Adds a point; older points lose weight.
   void Observe(double x, double y);
 
-  /// @brief Finds the x at which the line reaches a value.
+  /// @brief Solves the fitted line for x.
   /// @param y the value
-  /// @return x, or nothing while the points do not fix a rising line
+  /// @return x, or nothing while the points do not determine a rising line
   std::optional<double> SolveForX(double y) const;
 
  private:
--- a/src/admission/headroom.cc
+++ b/src/admission/headroom.cc
@@ -28,8 +28,9 @@
   if (!this->observed) {
     return 0;
   }
-  const double deviation = std::sqrt(std::max(this->variance, this->mean));
-  const double target = this->mean + deviations * deviation;
+  const double standard_deviation =
+      std::sqrt(std::max(this->variance, this->mean));
+  const double target = this->mean + deviations * standard_deviation;
   return std::max(0.0, target - in_progress);
 }
 
--- a/src/admission/lengths.cc
+++ b/src/admission/lengths.cc
@@ -8,15 +8,15 @@
 
 constexpr double kDecay = 1.0 - 1.0 / 1024;  // per observed output
 constexpr double kPriorWeight = 2.0;         // outputs
-constexpr double kPriorTokens = 128.0;       // the prior falls beyond this
+constexpr double kPriorTokens = 128.0;  // the prior is flat up to this length
 constexpr double kMinOutputs = 32.0;
 constexpr std::size_t kMaxKeys = 8192;
-// Part of a guess's distance from the usual one that is believed: guesses
-// scatter about one and a half times as widely as lengths do.
+// Weight of a hint's deviation from the usual hint: hints scatter about one and
+// a half times as widely as lengths do.
 constexpr double kHintWeight = 0.33;
-// Mean over median of lengths that scatter by a factor of two.
+// Ratio of mean to median of lengths that scatter by a factor of two.
 constexpr double kMeanOverMedian = 1.25;
-constexpr double kMaxHints = 200.0;  // older ones lose weight
+constexpr double kMaxHints = 200.0;  // older hints lose weight
 
 }  // namespace
 
--- a/src/admission/policy.cc
+++ b/src/admission/policy.cc
@@ -5,11 +5,13 @@
 namespace limpetlink {
 namespace {
 
-// Each bound runs geometrically from its value at weight 0 to that at weight 1.
+// Each limit is interpolated geometrically between its values at weight 0 and
+// weight 1.
 constexpr double kRiskAt0 = 0.2;
 constexpr double kRiskAt1 = 0.001;
-constexpr double kStepAt0 = 0.081;  // seconds: three times the stated target
-constexpr double kStepAt1 = 0.024;  // seconds: a little under it
+// Seconds: three times the documented target.
+constexpr double kStepAt0 = 0.081;
+constexpr double kStepAt1 = 0.024;  // seconds: slightly below that target
 constexpr double kWaitAt0 = 180.0;  // seconds
 constexpr double kWaitAt1 = 4.0;    // seconds
 constexpr double kHeadroomAt0 = 1.0;
--- a/src/admission/queue.cc
+++ b/src/admission/queue.cc
@@ -6,8 +6,8 @@
 namespace limpetlink {
 namespace {
 
-constexpr double kTimeConstantSeconds =
-    10.0;  // of busy time that the rate covers
+// Time constant of the estimate, in seconds of busy time.
+constexpr double kTimeConstantSeconds = 10.0;
 constexpr double kMinObservedSeconds = 1.0;
 
 }  // namespace
--- a/src/admission/regression.cc
+++ b/src/admission/regression.cc
@@ -5,8 +5,8 @@
 
 constexpr double kDecay = 1.0 - 1.0 / 256;  // per point
 constexpr double kMinPoints = 12.0;
-constexpr double kMinRelativeVariance =
-    0.01;  // variance over squared mean of x
+// Variance over squared mean of x.
+constexpr double kMinRelativeVariance = 0.01;
 
 }  // namespace
 
--- a/src/dispatch/core_drain.cc
+++ b/src/dispatch/core_drain.cc
@@ -5,7 +5,7 @@
 namespace limpetlink {
 namespace {
 
-// When the first in line does not fit, this many organisations are looked at.
+// Number of organisations tried when the request at the front does not fit.
 constexpr std::size_t kMaxOrganisationsTried = 2;
 
 }  // namespace
--- a/src/dispatch/core_grant.cc
+++ b/src/dispatch/core_grant.cc
@@ -5,7 +5,7 @@
 namespace limpetlink {
 namespace {
 
-// Two snapshots may be lost before a placement is taken out of the account.
+// Tolerates two lost snapshots before a placement is removed.
 constexpr Duration kGrantLifetime = std::chrono::seconds(13);
 
 }  // namespace
@@ -295,7 +295,7 @@
       this->workers.Add(this->now, entry.worker, entry.key, entry.demand,
                         entry.tokens);
     } else {
-      announcements[entry.owner].streams.push_back(this->StreamOf(entry));
+      announcements[entry.owner].streams.push_back(this->ToPeerStream(entry));
     }
   }
   announcements.erase(this->settings.self);
--- a/src/dispatch/core_reserve.cc
+++ b/src/dispatch/core_reserve.cc
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr Duration kReservationRetryInterval = std::chrono::milliseconds(500);
-constexpr Duration kQueuedRefreshInterval =
-    std::chrono::seconds(4);  // while queued there
+// While queued at the owner.
+constexpr Duration kQueuedRefreshInterval = std::chrono::seconds(4);
 constexpr std::uint32_t kMaxUnanswered = 2;
 constexpr std::uint32_t kMaxUnreserved = 2;  // streams at one worker
 constexpr std::size_t kMaxExcluded = 16;
@@ -19,7 +19,7 @@
       DispatchSend{to, EncodePeer({this->epoch, std::move(message)})});
 }
 
-PeerDemand DispatchCore::DemandOf(const Entry& entry) const {
+PeerDemand DispatchCore::ToPeerDemand(const Entry& entry) const {
   PeerDemand demand;
   demand.target = MakeShortName(entry.submit.target);
   demand.route = MakeShortName(entry.submit.route);
@@ -30,11 +30,11 @@
   return demand;
 }
 
-PeerStream DispatchCore::StreamOf(const Entry& entry) const {
+PeerStream DispatchCore::ToPeerStream(const Entry& entry) const {
   PeerStream stream;
   stream.progress = {entry.key.ticket, entry.tokens};
   stream.worker = MakeShortName(entry.worker.value);
-  stream.demand = this->DemandOf(entry);
+  stream.demand = this->ToPeerDemand(entry);
   return stream;
 }
 
@@ -59,7 +59,7 @@
   entry.reservation->sent = this->now;
   PeerReserve message;
   message.ticket = entry.key.ticket;
-  message.demand = this->DemandOf(entry);
+  message.demand = this->ToPeerDemand(entry);
   for (const UpstreamId& worker : entry.submit.excluded) {
     if (message.excluded.size() < kMaxExcluded) {
       message.excluded.push_back(MakeShortName(worker.value));
@@ -216,7 +216,7 @@
     const bool held = it != this->entries.end() && it->second.placed &&
                       it->second.owner == from;
     if (held) {
-      announcement.streams.push_back(this->StreamOf(it->second));
+      announcement.streams.push_back(this->ToPeerStream(it->second));
     }
   }
   if (!announcement.streams.empty()) {
--- a/src/dispatch/core_wait.cc
+++ b/src/dispatch/core_wait.cc
@@ -14,8 +14,8 @@
 }  // namespace
 
 std::size_t DispatchCore::RequestsAhead(const Entry& entry) {
-  // Lines are served in turn, so each request before it in its own line comes
-  // with one of every other line.
+  // The organisations' queues are served in turn, so each request ahead in the
+  // same queue comes with one request of every other queue.
   const WaitQueue& queue =
       this->queues[entry.submit.target].Of(entry.submit.request_class);
   const std::size_t own_position =
--- a/src/dispatch/detail/core.h
+++ b/src/dispatch/detail/core.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The dispatcher's state and its handlers, one for each message.
+/// @brief The dispatcher's state and its message handlers.
 #pragma once
 
 #include <map>
@@ -23,7 +23,7 @@
 
 namespace limpetlink {
 
-/// @brief What stands behind Dispatcher. Handlers append to the actions.
+/// @brief Implementation of Dispatcher. Handlers append to `actions`.
 class DispatchCore {
  public:
   explicit DispatchCore(DispatcherSettings settings);
@@ -35,7 +35,7 @@
   std::vector<UpstreamId> OwnedWorkers() const;
 
  private:
-  // Messages (core.cc).
+  // Message handlers (core.cc).
   void On(const SubmitRequest& message);
   void On(const ReportProduced& message);
   void On(const ReportEnded& message);
@@ -47,7 +47,7 @@
   void On(const DispatchReceive& message);
   void On(const DispatchTick& message);
 
-  // Coming and going of requests (core.cc).
+  // Request lifecycle (core.cc).
   std::optional<Problem> Validate(const SubmitRequest& message);
   Entry& NewEntry(const SubmitRequest& message, const StreamKey& key);
   void Enqueue(Entry& entry);
@@ -60,7 +60,7 @@
   void ObserveLength(const LengthKey& key, PlacementEnd end,
                      std::uint32_t tokens);
 
-  // Placing (core_drain.cc).
+  // Placement (core_drain.cc).
   void Drain(const std::string& target);
   bool DrainOne(const std::string& target, RequestClass request_class);
   bool TryPlace(Entry& entry);
@@ -69,7 +69,7 @@
   void Dequeue(const Entry& entry, bool served);
   void DrainAll();
 
-  // Waiting (core_wait.cc).
+  // Queued requests (core_wait.cc).
   void ReevaluateWaiting();
   bool ReevaluateEntry(Entry& entry, std::size_t ahead);
   void ReportWaiting(Entry& entry, std::size_t ahead);
@@ -79,7 +79,7 @@
   bool HasUntriedOwner(const Entry& entry) const;
   void EvaluateArrival(Entry& entry);
 
-  // Asking other owners (core_reserve.cc).
+  // Reservations at other owners (core_reserve.cc).
   void Send(const HostId& to, PeerMessage message);
   void RequestReservation(Entry& entry);
   void SendReserve(Entry& entry);
@@ -91,12 +91,12 @@
   void OnPeer(const HostId& from, const PeerDeny& message);
   void OnPeer(const HostId& from, const PeerMissing& message);
   void OnPeer(const HostId& from, const PeerShares& message);
-  PeerDemand DemandOf(const Entry& entry) const;
-  PeerStream StreamOf(const Entry& entry) const;
+  PeerDemand ToPeerDemand(const Entry& entry) const;
+  PeerStream ToPeerStream(const Entry& entry) const;
   void SendSnapshots();
   void SendLimitRequests();
 
-  // Granting to other hosts (core_grant.cc).
+  // Grants to other hosts (core_grant.cc).
   void OnPeer(const HostId& from, const PeerReserve& message);
   void OnPeer(const HostId& from, const PeerRelease& message);
   void OnPeer(const HostId& from, const PeerSnapshot& message);
@@ -134,8 +134,8 @@
   std::unordered_map<RequestId, Ticket> tickets;
   std::map<std::string, TargetQueues> queues;
   std::map<std::string, FairShare> fair;
-  std::map<StreamKey, Ticket>
-      remote_waiting;  ///< asks of others that wait here
+  /// Reservation requests of other hosts that are queued here.
+  std::map<StreamKey, Ticket> remote_waiting;
   std::map<StreamKey, RemotePlacement> granted;
   std::map<UpstreamId, std::uint32_t> unreserved;
   std::map<HostId, std::uint32_t> epochs;
--- a/src/dispatch/detail/dispatcher.h
+++ b/src/dispatch/detail/dispatcher.h
@@ -16,53 +16,54 @@
 
 class DispatchCore;
 
-/// @brief What a dispatcher is built with.
+/// @brief Construction parameters of a dispatcher.
 struct DispatcherSettings {
   HostId self;
   FailureDomainId failure_domain;
-  std::uint64_t seed = 1;  ///< differs between two lives of a host
-  std::function<void(AdmissionPolicy&)>
-      adjust_policy;  ///< changes what follows from the weights, to compare
-                      ///< mechanisms; empty in service
+  std::uint64_t seed = 1;  ///< differs between two incarnations of a host
+  /// Modifies the policy derived from the weights, to compare mechanisms; empty
+  /// in production.
+  std::function<void(AdmissionPolicy&)> adjust_policy;
 };
 
-/// @brief Deterministic: equal settings and messages give equal decisions.
+/// @brief Places requests on workers, queues them or refuses them.
+/// Deterministic: equal settings and messages give equal decisions.
 /// @note Example:
 /// @code
 /// Dispatcher dispatcher({HostId{"a"}, FailureDomainId{"perth-a"}, 1});
 /// dispatcher.Step(now, Configure{document});
-/// auto actions = dispatcher.Step(now, SubmitRequest{...});  // Place, Refuse
-/// or Waiting
+/// // Returns Place, Refuse or Waiting.
+/// auto actions = dispatcher.Step(now, SubmitRequest{...});
 /// @endcode
 class Dispatcher {
  public:
-  /// @param settings who this host is
+  /// @param settings identity of this host
   explicit Dispatcher(DispatcherSettings settings);
   ~Dispatcher();
   Dispatcher(Dispatcher&& other) noexcept;
   Dispatcher& operator=(Dispatcher&& other) noexcept;
 
-  /// @brief Takes one message in and says what follows.
-  /// @param now core time, never earlier than at the step before
-  /// @param message what happened
-  /// @return decisions in order
+  /// @brief Handles one message and returns the resulting actions.
+  /// @param now core time, never earlier than in the previous step
+  /// @param message the event to handle
+  /// @return actions, in the order in which to perform them
   std::vector<DispatchAction> Step(Instant now, const DispatchMessage& message);
 
-  /// @return when a DispatchTick is due at the latest; kNever when nothing
-  /// waits
+  /// @return the latest time of the next DispatchTick; kNever when nothing is
+  /// pending
   Instant NextWakeup() const;
 
-  /// @brief Gives the time after which a second copy of an idempotent lookup
-  /// may be sent, as a SubmitRequest with is_retry and the first worker
-  /// excluded.
+  /// @brief Returns the delay after which a hedge of an idempotent lookup may
+  /// be sent, as a SubmitRequest with is_retry and the first worker excluded.
   /// @param target the service
   /// @param route the matched rule's path prefix
-  /// @return the learnt delay, or nothing before enough lookups were seen
+  /// @return the delay estimated from observed lookups, or nothing while too
+  /// few were observed
   std::optional<Duration> HedgeDelay(const std::string& target,
                                      const std::string& route) const;
 
-  /// @brief Names the workers whose reports this host needs.
-  /// @return the workers it owns, by target and name
+  /// @brief Lists the workers whose reports this host needs.
+  /// @return the workers owned by this host, by target and name
   std::vector<UpstreamId> OwnedWorkers() const;
 
  private:
--- a/src/dispatch/detail/entries.h
+++ b/src/dispatch/detail/entries.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The requests that a dispatcher knows.
+/// @brief The requests that a dispatcher tracks.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +14,15 @@
 
 namespace limpetlink {
 
-/// @brief The ask that a waiting request has out with another owner.
+/// @brief A waiting request's outstanding reservation request to another owner.
 struct PendingReservation {
   HostId owner;
-  Instant sent;         ///< last time
-  bool queued = false;  ///< the owner said that it waits there
+  Instant sent;         ///< last transmission
+  bool queued = false;  ///< the owner has queued the request
   std::uint32_t unanswered = 0;
 };
 
-/// @brief A request of this host, or one that another host asked a place for.
+/// @brief A request of this host, or another host's reservation request.
 struct Entry {
   Ticket ticket;
   SubmitRequest submit;
@@ -30,20 +30,21 @@
   LengthKey length_key;
   Demand demand;
   Instant arrived;
-  Instant refreshed;  ///< last ask, of another host's request
+  Instant refreshed;  ///< last reservation request; for another host's request
 
-  // While it waits.
+  // Set while the request waits.
   std::optional<PendingReservation> reservation;
   std::vector<HostId> denied_by;
   std::uint32_t unresponsive_owners = 0;
-  Duration shortest_denied_wait{0};  ///< least expected wait that a denial told
+  /// Shortest expected wait among the denials.
+  Duration shortest_denied_wait{0};
   Instant last_reported;
   std::uint32_t reported_position = 0;
 
-  // Once it is placed.
+  // Set once the request is placed.
   bool placed = false;
   UpstreamId worker;
-  HostId owner;  ///< who keeps the account it stands in
+  HostId owner;  ///< owner of the worker, which tracks the placement
   Instant placed_at;
   std::uint32_t tokens = 0;
   std::int32_t priority = 0;
@@ -51,12 +52,13 @@
   double charged = 0;
 };
 
-/// @brief A placement of another host in the account of a worker of this host.
+/// @brief Another host's placement at a worker owned by this host.
 struct RemotePlacement {
   UpstreamId worker;
   std::string target;
   LengthKey length_key;
-  Instant confirmed;  ///< granted, or last named by its holder
+  /// Time of the grant, or of the last snapshot that listed it.
+  Instant confirmed;
   double charged = 0;
 };
 
--- a/src/dispatch/detail/limit_table.h
+++ b/src/dispatch/detail/limit_table.h
@@ -1,5 +1,6 @@
 /// @file
-/// @brief The organisations' limits at one host, and those it hands out.
+/// @brief The organisations' limits at one host, and the shares that it
+/// allocates as their owner.
 #pragma once
 
 #include <map>
@@ -11,53 +12,54 @@
 
 namespace limpetlink {
 
-/// @brief One organisation's wants or share, as hosts tell each other.
+/// @brief One organisation's demand or share, as exchanged between hosts.
 struct OrganisationShare {
   OrganisationId organisation;
   LimitShare share;
 };
 
-/// @brief Wants to be sent to one owner.
+/// @brief Demands to be sent to one owner.
 struct LimitRequest {
   HostId owner;
   std::vector<OrganisationShare> demands;
 };
 
-/// @brief Limits by organisation.
+/// @brief Request limits by organisation.
 class LimitTable {
  public:
   /// @param self this host
   explicit LimitTable(HostId self);
 
-  /// @brief Takes a document's organisations in.
+  /// @brief Applies a document's organisations.
   void Configure(const FleetDocument& document);
 
-  /// @brief Takes the live hosts in.
-  void SetHosts(const std::vector<HostId>& live);
+  /// @brief Applies a new list of live hosts.
+  void SetHosts(const std::vector<HostId>& new_live);
 
-  /// @brief Counts a request in.
-  /// @param again whether it is a repeat
+  /// @brief Counts the start of a request against its organisation's limits.
+  /// @param is_retry whether the request is a retry
   LimitAnswer Begin(Instant now, const OrganisationId& organisation,
                     bool is_retry);
 
-  /// @brief Counts a request out.
+  /// @brief Counts the end of a request.
+  /// @param held how long the request was in progress
   void End(const OrganisationId& organisation, Duration held);
 
-  /// @brief Says when a refused caller may come back.
+  /// @return how long a refused caller should wait before its next attempt
   Duration RetryAfter(Instant now, const OrganisationId& organisation,
                       LimitAnswer decision) const;
 
-  /// @brief Collects what is to be asked of the limits' owners now: only for
-  /// organisations that press against their fallback part. This host's own
-  /// are settled at once.
+  /// @brief Collects the limit requests due to the limits' owners: only for
+  /// organisations whose load comes close to their fallback share. Limits that
+  /// this host owns are allocated at once.
   std::vector<LimitRequest> CollectLimitRequests(Instant now);
 
-  /// @brief Answers a host's wants as the owner.
+  /// @brief Allocates shares to a host, as the limits' owner.
   std::vector<OrganisationShare> Allocate(
       Instant now, const HostId& from,
       const std::vector<OrganisationShare>& demands);
 
-  /// @brief Takes shares from an owner in.
+  /// @brief Applies shares received from an owner.
   void ApplyShares(Instant now, const std::vector<OrganisationShare>& shares);
 
  private:
--- a/src/dispatch/detail/messages.h
+++ b/src/dispatch/detail/messages.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What the dispatcher is told and what it decides.
+/// @brief The dispatcher's input messages and output actions.
 #pragma once
 
 #include <cstdint>
@@ -13,28 +13,28 @@
 
 namespace limpetlink {
 
-/// @brief A request wants a worker. The answer is Place or Refuse, perhaps
+/// @brief Requests placement on a worker. Results in Place or Refuse, possibly
 /// after Waiting.
 struct SubmitRequest {
   RequestId request;
   OrganisationId organisation;
-  std::string target;  ///< the model's or the service's name
-  std::string route;   ///< the route's name; for a service its matched rule's
-                       ///< path prefix
+  std::string target;  ///< name of the model or service
+  /// The route's name; for a service, the matched rule's path prefix.
+  std::string route;
   RequestClass request_class = RequestClass::kDraft;
   std::uint32_t prompt_tokens = 0;
   std::uint32_t max_output_tokens = 0;
-  std::vector<std::uint64_t>
-      prefix_blocks;  ///< hashes of the prompt's leading blocks
+  /// Hashes of the prompt's leading blocks.
+  std::vector<std::uint64_t> prefix_blocks;
   Instant deadline = kNever;
   bool idempotent = true;
-  bool is_retry = false;             ///< taken from the retry budget
+  bool is_retry = false;             ///< charged to the retry budget
   std::vector<UpstreamId> excluded;  ///< workers already tried
-  std::uint32_t produced_tokens =
-      0;  ///< of an earlier generation of the same request
+  /// Tokens produced by an earlier generation of the same request.
+  std::uint32_t produced_tokens = 0;
 };
 
-/// @brief A placed stream has produced this many tokens in all.
+/// @brief Reports the total number of tokens that a placed stream has produced.
 struct ReportProduced {
   RequestId request;
   std::uint32_t tokens = 0;
@@ -45,8 +45,10 @@
   kFinished,
   kCancelled,
   kNotConnected,  ///< nothing reached the worker
-  kRefused,       ///< the worker said it did not run it
-  kLost,          ///< cut, stalled or dead after the request was sent
+  kRefused,       ///< the worker reported that it did not run the request
+  /// The connection was cut, or the worker stalled or died, after the request
+  /// was sent.
+  kLost,
 };
 
 template <>
@@ -67,21 +69,21 @@
   std::uint32_t tokens = 0;
 };
 
-/// @brief A worker's own report of its load; lags.
+/// @brief A worker's own report of its load; lags behind the actual load.
 struct WorkerReport {
   UpstreamId worker;
-  std::uint64_t memory_tokens =
-      0;  ///< capacity of the engine's memory, in tokens
-  std::uint64_t memory_tokens_used =
-      0;  ///< of it in use when the report was made
+  /// Capacity of the engine's memory, in tokens.
+  std::uint64_t memory_tokens = 0;
+  /// Tokens of it in use when the report was made.
+  std::uint64_t memory_tokens_used = 0;
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   std::uint64_t preemptions = 0;  ///< since the engine started
-  Duration step_time{0};          ///< time of the last decode step
+  Duration step_time{0};          ///< duration of the last decode step
   bool draining = false;
 };
 
-/// @brief Why a worker gets no new work, or that it may again.
+/// @brief Whether a worker accepts new work, else why not.
 enum class WorkerState { kLive, kLeaving, kTerminated };
 
 template <>
@@ -92,16 +94,15 @@
       {WorkerState::kTerminated, "gone"}};
 };
 
-/// @brief A sign of a worker's state from the host list, its report or a
+/// @brief Indicates a worker's state, as seen in the host list, its report or a
 /// refusal.
 struct SetWorkerState {
   UpstreamId worker;
   WorkerState state = WorkerState::kLive;
 };
 
-/// @brief A worker's cache now holds, or no longer holds, a prefix block. A gap
-/// in the sequence
-///        clears what is known of the worker.
+/// @brief A prefix block was added to or removed from a worker's cache. A gap
+/// in the sequence clears the cached blocks known for the worker.
 struct CacheEvent {
   UpstreamId worker;
   std::uint64_t sequence = 0;
@@ -109,71 +110,72 @@
   bool present = true;
 };
 
-/// @brief A new fleet document is in force.
+/// @brief Activates a new fleet document.
 struct Configure {
   std::shared_ptr<const FleetDocument> document;
 };
 
 /// @brief The live entry hosts changed.
 struct SetHosts {
-  std::vector<HostId> live;  ///< with this host
-  std::vector<FailureDomainId>
-      failure_domains;  ///< of the live hosts, in their order; empty when
-                        ///< unknown. Owners are chosen near their workers.
+  std::vector<HostId> live;  ///< including this host
+  /// Failure domains of the live hosts, in their order; empty when unknown.
+  /// Owners are chosen near their workers.
+  std::vector<FailureDomainId> failure_domains;
 };
 
-/// @brief A dispatcher's message from a peer, CBOR as made by DispatchSend.
+/// @brief A message from a peer's dispatcher; the CBOR bytes of its
+/// DispatchSend.
 struct DispatchReceive {
   HostId from;
   std::string bytes;
 };
 
-/// @brief Only time has passed.
+/// @brief Advances time without any other event.
 struct DispatchTick {};
 
-/// @brief What the dispatcher may be told.
+/// @brief Any message that the dispatcher handles.
 using DispatchMessage =
     std::variant<SubmitRequest, ReportProduced, ReportEnded, WorkerReport,
                  SetWorkerState, CacheEvent, Configure, SetHosts,
                  DispatchReceive, DispatchTick>;
 
-/// @brief Send the request to this worker now.
+/// @brief Sends the request to this worker now.
 struct Place {
   RequestId request;
   UpstreamId worker;
   std::string url;
-  std::int32_t priority = 0;  ///< higher is kept longer by the engine
+  /// The engine keeps streams of higher priority longer.
+  std::int32_t priority = 0;
 };
 
-/// @brief Tell the caller now that the request is given up.
+/// @brief Returns an error to the caller now and drops the request.
 struct Refuse {
   RequestId request;
   Problem problem;
 };
 
-/// @brief The request waits; told on every change that a person would care
-/// about.
+/// @brief Reports that the request is queued; repeated while it waits.
 struct Waiting {
   RequestId request;
   std::uint32_t position = 0;  ///< 1 is next
-  Duration expected_wait{0};   ///< from the queue's drain rate
+  Duration expected_wait{0};   ///< estimated from the queue's drain rate
   std::string reason;
 };
 
-/// @brief Raise a running stream's priority at its engine.
+/// @brief Raises a running stream's priority at its engine.
 struct SetPriority {
   RequestId request;
   UpstreamId worker;
   std::int32_t priority = 0;
 };
 
-/// @brief Send bytes to a peer's dispatcher; may be lost.
+/// @brief Sends bytes to a peer's dispatcher; may be lost.
 struct DispatchSend {
   HostId to;
   std::string bytes;
 };
 
-/// @brief What the dispatcher may decide.
+/// @brief Any action that the dispatcher returns.
 using DispatchAction =
     std::variant<Place, Refuse, Waiting, SetPriority, DispatchSend>;
 
--- a/src/dispatch/detail/owner_directory.h
+++ b/src/dispatch/detail/owner_directory.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which other host to ask for a place.
+/// @brief Selects the host from which to request a reservation.
 #pragma once
 
 #include <map>
@@ -13,31 +13,32 @@
 
 namespace limpetlink {
 
-/// @brief The other owners of each target's workers and what they last said.
+/// @brief The other owners of each target's workers, with their last reported
+/// waits.
 class OwnerDirectory {
  public:
   /// @brief Rebuilds the directory after a change of hosts or document.
   void Index(const FleetDocument& document, const WorkerTable& workers,
              const Router& router);
 
-  /// @brief Chooses the owner to ask: near, not silent, with the shortest wait
-  /// it told; else spread by the ticket.
+  /// @brief Chooses the owner from which to request a reservation: responsive,
+  /// near, and with the shortest reported wait; ties are spread by the ticket.
   /// @param ticket spreads requests over equal owners
-  /// @param tried hosts not to ask again
-  /// @return the host, or nothing when all were tried or are silent
+  /// @param tried hosts to skip
+  /// @return the host, or nothing when all were tried or are unresponsive
   /// @note Complexity: linear in the target's owners.
   std::optional<HostId> Choose(Instant now, const std::string& target,
                                Ticket ticket,
                                const std::vector<HostId>& tried) const;
 
-  /// @brief An owner told its expected wait.
+  /// @brief Records the expected wait that an owner reported.
   void RecordWait(Instant now, const HostId& owner, const std::string& target,
                   Duration expected_wait);
 
-  /// @brief An owner did not answer.
+  /// @brief Marks an owner as unresponsive for a while after it did not answer.
   void MarkUnresponsive(Instant now, const HostId& owner);
 
-  /// @return whether an owner is thought silent now
+  /// @return whether an owner is currently marked as unresponsive
   bool IsUnresponsive(Instant now, const HostId& owner) const;
 
   /// @return whether any other host owns workers of the target
--- a/src/dispatch/detail/wire.h
+++ b/src/dispatch/detail/wire.h
@@ -15,14 +15,14 @@
 
 namespace limpetlink {
 
-/// @brief A name of the fleet document in four bytes. Two names that collide
-/// cost efficiency only.
+/// @brief A name of the fleet document, hashed to four bytes. A collision of
+/// two names only costs efficiency.
 using ShortName = std::uint32_t;
 
-/// @brief Shortens a name. Linear in its length.
+/// @brief Hashes a name to its short form. Linear in its length.
 ShortName MakeShortName(std::string_view name);
 
-/// @brief What a host tells an owner of a request.
+/// @brief A request's properties as sent to an owner.
 struct PeerDemand {
   ShortName target = 0;
   ShortName route = 0;
@@ -32,100 +32,100 @@
   std::uint32_t max_output_tokens = 0;
 };
 
-/// @brief Reserve: asks an owner for a place; sent again until it is answered.
+/// @brief Requests a reservation from an owner; repeated until answered.
 struct PeerReserve {
   Ticket ticket;
   PeerDemand demand;
   std::vector<ShortName> excluded;  ///< workers already tried
 };
 
-/// @brief The owner has entered the request into a worker's account.
+/// @brief The owner has reserved a slot at a worker for the request.
 struct PeerGrant {
   Ticket ticket;
   ShortName worker = 0;
 };
 
-/// @brief The request waits at the owner.
+/// @brief The owner has queued the request.
 struct PeerQueued {
   Ticket ticket;
   Duration expected_wait{0};
 };
 
-/// @brief The owner has no place in time.
+/// @brief The owner expects no free slot in time.
 struct PeerDeny {
   Ticket ticket;
   Duration expected_wait{0};  ///< 0: the owner has no such worker
 };
 
-/// @brief The request ended, or is not wanted any more.
+/// @brief The request ended or no longer needs its reservation.
 struct PeerRelease {
   Ticket ticket;
   PlacementEnd end = PlacementEnd::kCancelled;
   std::uint32_t tokens = 0;
 };
 
-/// @brief A placed stream and what it has produced.
+/// @brief Tokens produced so far by a placed stream.
 struct PeerProgress {
   Ticket ticket;
   std::uint32_t tokens = 0;
 };
 
-/// @brief All that the sender holds at the receiver's workers, in order of the
-/// tickets.
+/// @brief All placements of the sender at the receiver's workers, sorted by
+/// ticket.
 struct PeerSnapshot {
   std::vector<PeerProgress> streams;
 };
 
-/// @brief The owner does not know these streams.
+/// @brief Streams of a snapshot that the owner does not know.
 struct PeerMissing {
   std::vector<Ticket> tickets;
 };
 
-/// @brief A stream in full, for an owner that does not know it.
+/// @brief Complete description of a stream, for an owner that does not know it.
 struct PeerStream {
   PeerProgress progress;
   ShortName worker = 0;
   PeerDemand demand;
 };
 
-/// @brief Streams for an owner that rebuilds its account.
+/// @brief Streams for an owner that rebuilds its load accounting.
 struct PeerAnnounce {
   std::vector<PeerStream> streams;
 };
 
-/// @brief An organisation's wants or share.
+/// @brief An organisation's demand or share.
 struct PeerLimit {
   ShortName organisation = 0;
   double concurrent = 0;
   double per_second = 0;
 };
 
-/// @brief Asks a limit's owner for shares.
+/// @brief Requests shares from a limit's owner.
 struct PeerLimitRequest {
   std::vector<PeerLimit> limits;
 };
 
-/// @brief Hands shares out.
+/// @brief Shares allocated by a limit's owner.
 struct PeerShares {
   std::vector<PeerLimit> limits;
 };
 
-/// @brief What dispatchers tell each other.
+/// @brief Any message between dispatchers.
 using PeerMessage = std::variant<PeerReserve, PeerGrant, PeerQueued, PeerDeny,
                                  PeerRelease, PeerSnapshot, PeerMissing,
                                  PeerAnnounce, PeerLimitRequest, PeerShares>;
 
-/// @brief A message and which life of the sender it comes from.
+/// @brief A message with the sender's incarnation.
 struct PeerEnvelope {
   std::uint32_t epoch = 0;
   PeerMessage message;
 };
 
-/// @brief Writes a message as a CBOR array: kind, epoch, then its numbers.
+/// @brief Encodes a message as a CBOR array: kind, epoch, then its numbers.
 std::string EncodePeer(const PeerEnvelope& envelope);
 
-/// @brief Reads a message.
-/// @return the message, or nothing when the bytes are not one
+/// @brief Decodes a message.
+/// @return the message, or nothing when the bytes are malformed
 std::optional<PeerEnvelope> DecodePeer(std::string_view bytes);
 
 }  // namespace limpetlink
--- a/src/dispatch/detail/worker_table.h
+++ b/src/dispatch/detail/worker_table.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief The workers of the fleet, who owns each, and the accounts of those
-/// that this host owns.
+/// @brief The workers of the fleet, their owners, and the load accounting of
+/// the workers that this host owns.
 #pragma once
 
 #include <map>
@@ -14,27 +14,29 @@
 
 namespace limpetlink {
 
-/// @brief The entry hosts that are live, and where they stand.
+/// @brief The live entry hosts and their failure domains.
 struct HostView {
   std::vector<HostId> live;
-  std::map<HostId, FailureDomainId> domains;  ///< of the hosts that told it
+  /// Of the hosts that advertised it.
+  std::map<HostId, FailureDomainId> domains;
 };
 
-/// @brief Accounts of the workers this host owns; owners of all the others.
-/// @note An owner stands in the worker's failure domain where a host of that
-/// domain is live, so that a host's own workers are near it.
+/// @brief Tracks the load of the workers that this host owns, and the owners of
+/// all the others.
+/// @note The owner is a host of the worker's failure domain where one is live,
+/// else one of its region, so that a host's own workers are near it.
 class WorkerTable {
  public:
   /// @param self this host
   explicit WorkerTable(HostId self);
 
-  /// @brief Takes a document in; accounts of workers that stay are kept.
+  /// @brief Applies a document; keeps the load accounting of workers that stay.
   void Configure(Instant now, const FleetDocument& document,
                  const AdmissionPolicy& new_policy);
 
-  /// @brief Takes the live hosts in. A worker that comes to this host begins
-  /// with an account to be rebuilt.
-  void SetHosts(Instant now, HostView view);
+  /// @brief Applies a new list of live hosts. A worker whose ownership moves to
+  /// this host starts with load accounting that must be rebuilt.
+  void SetHosts(Instant now, HostView new_view);
 
   /// @return whether this host owns the worker
   bool IsOwned(const UpstreamId& worker) const;
@@ -49,44 +51,47 @@
   const std::vector<UpstreamId>& OwnedWorkersOf(
       const std::string& target) const;
 
-  /// @return every worker this host owns
+  /// @return every worker that this host owns
   std::vector<UpstreamId> OwnedWorkers() const;
 
-  /// @return workers of a target that others own
+  /// @return workers of a target that other hosts own
   const std::vector<UpstreamId>& RemoteWorkersOf(
       const std::string& target) const;
 
-  /// @brief Says whether a worker of this host may take a request now.
+  /// @brief Decides whether a worker owned by this host may start a request
+  /// now.
   AdmissionDecision Check(Instant now, const UpstreamId& worker,
                           const Demand& demand, double share);
 
-  /// @brief Enters a placement at a worker of this host.
+  /// @brief Records a placement at a worker owned by this host.
   void Add(Instant now, const UpstreamId& worker, const StreamKey& key,
            const Demand& demand, std::uint32_t produced);
 
-  /// @brief Counts produced tokens at a worker of this host.
+  /// @brief Records the tokens produced by a stream at a worker owned by this
+  /// host.
   void RecordProduced(Instant now, const UpstreamId& worker,
                       const StreamKey& key, std::uint32_t tokens);
 
-  /// @brief Takes a placement out.
-  /// @return whether it was there
+  /// @brief Removes a placement.
+  /// @return whether it was present
   bool Remove(const UpstreamId& worker, const StreamKey& key);
 
-  /// @brief Drops what a holder had placed at the workers of this host.
+  /// @brief Removes a holder's placements from all workers owned by this host.
   void RemoveHolder(const HostId& holder);
 
-  /// @brief Takes a worker's report in.
+  /// @brief Applies a worker's load report.
   void Report(Instant now, const UpstreamId& worker, const EngineLoad& load);
 
-  /// @brief A verdict for a target arrived; teaches the headroom of this
-  /// host's workers.
+  /// @brief Records the arrival of a verdict for a target, which updates the
+  /// verdict headroom of this host's workers.
   void ObserveVerdict(const std::string& target, const Demand& demand,
                       double waiting);
 
-  /// @brief A host has announced what it holds.
+  /// @brief Records that a host has announced its placements.
   void RecordAnnouncement(const HostId& from);
 
-  /// @return a worker's fill, 1 being full; 0 for a worker of another host
+  /// @return a worker's utilisation, 1 when full; 0 for a worker of another
+  /// host
   double Utilisation(const UpstreamId& worker) const;
 
  private:
--- a/src/dispatch/dispatch.h
+++ b/src/dispatch/dispatch.h
@@ -1,7 +1,6 @@
 /// @file
-/// @brief Decides which worker runs each request and when: composes admission,
-/// routing, limits
-///        and the retry budget behind one deterministic step function.
+/// @brief Decides which worker runs each request and when: combines admission,
+/// routing, limits and the retry budget behind one deterministic step function.
 #pragma once
 
 #include "dispatch/detail/dispatcher.h"
--- a/src/dispatch/owner_directory.cc
+++ b/src/dispatch/owner_directory.cc
@@ -7,7 +7,8 @@
 
 constexpr Duration kHintLifetime = std::chrono::seconds(2);
 constexpr Duration kUnresponsivePeriod = std::chrono::seconds(5);
-// A step further away is worth this much waiting.
+// An owner one distance step nearer is preferred unless its expected wait is
+// longer by more than this.
 constexpr Duration kDistanceCost = std::chrono::milliseconds(500);
 
 }  // namespace
--- a/src/dispatch/wire.cc
+++ b/src/dispatch/wire.cc
@@ -6,11 +6,11 @@
 namespace limpetlink {
 namespace {
 
-// Kinds are the variant's indices: append only.
-constexpr double kRateScale = 10.0;  // requests a second in tenths
+// A message's kind is its index in PeerMessage: append only.
+constexpr double kRateScale = 10.0;  // tenths of a request per second
 constexpr std::uint64_t kMaxNumber = 1ULL << 53U;
 
-/// Collects the numbers of a message.
+/// Appends the numbers of a message to a CBOR array.
 class Writer {
  public:
   explicit Writer(std::size_t kind, std::uint32_t epoch)
@@ -47,7 +47,7 @@
   nlohmann::json array;
 };
 
-/// Takes the numbers of a message; stays failed after the first fault.
+/// Reads the numbers of a message; stays failed after the first error.
 class Reader {
  public:
   explicit Reader(const nlohmann::json& array) : array(array) {}
@@ -128,7 +128,7 @@
   out.Put(message.tokens);
 }
 
-// Tickets rise, so each is told as the difference to the one before.
+// Tickets ascend, so each is encoded as the difference to the previous one.
 void Write(Writer& out, const PeerSnapshot& message) {
   std::uint64_t previous = 0;
   for (const PeerProgress& stream : message.streams) {
@@ -266,7 +266,8 @@
   }
 }
 
-// The parser throws on an array longer than memory although it is told not to.
+// The parser throws on an array longer than memory even with exceptions
+// disabled.
 nlohmann::json ParseArray(std::string_view bytes) {
   try {
     return nlohmann::json::from_cbor(bytes, true, false);
