--- a/src/dispatch/core.cc
+++ b/src/dispatch/core.cc
@@ -108,31 +108,31 @@
                               : Outcome::kNotRun;
   if (!this->document) {
     return Problem{ErrorCode::kFleetNotReady, outcome,
-                   "no fleet document is in force here", kMinRetryAfter};
+                   "no fleet document is active on this host", kMinRetryAfter};
   }
   if (message.deadline <= this->now) {
     return Problem{ErrorCode::kRequestDeadlinePast,
                    outcome,
-                   "the deadline was past on arrival",
+                   "the deadline had passed on arrival",
                    {}};
   }
   const auto& all_workers = this->router.WorkersOf(message.target);
   if (!this->router.AnyOpen(this->now, all_workers, message.excluded)) {
     return Problem{ErrorCode::kRoutingNoUpstream, outcome,
-                   "no worker of " + message.target + " takes new work",
+                   "no worker of " + message.target + " accepts new work",
                    kNoUpstreamRetryAfter};
   }
   const WaitQueue& queue =
       this->queues[message.target].Of(message.request_class);
   if (queue.Size() >= kMaxWaiting) {
     return Problem{ErrorCode::kAdmissionQueueFull, outcome,
-                   "too many requests wait for " + message.target,
+                   "too many requests are waiting for " + message.target,
                    queue.ExpectedWait(this->now, queue.Size())
                        .value_or(kQueueFullRetryAfter)};
   }
   if (message.is_retry && !this->retries.Spend()) {
     return Problem{ErrorCode::kRetriesExhausted, outcome,
-                   "the retry budget is spent", kMinRetryAfter};
+                   "the retry budget is exhausted", kMinRetryAfter};
   }
   const LimitAnswer decision =
       this->limits.Begin(this->now, message.organisation, message.is_retry);
@@ -142,8 +142,8 @@
   const bool rate = decision == LimitAnswer::kRate;
   return Problem{
       rate ? ErrorCode::kLimitsRate : ErrorCode::kLimitsConcurrency, outcome,
-      rate ? "the organisation's rate is reached"
-           : "the organisation's concurrency is reached",
+      rate ? "the organisation's request rate limit is reached"
+           : "the organisation's concurrency limit is reached",
       std::max(kMinRetryAfter, this->limits.RetryAfter(
                                    this->now, message.organisation, decision))};
 }
--- a/src/dispatch/core_drain.cc
+++ b/src/dispatch/core_drain.cc
@@ -73,7 +73,7 @@
                           entry.key.holder == this->settings.self;
   if (never_fits) {
     this->RefuseEntry(entry, ErrorCode::kAdmissionTooLongForModel,
-                      "the prompt is longer than a worker's memory", {});
+                      "the prompt exceeds the memory of the workers", {});
   }
   return never_fits;
 }
--- a/src/dispatch/core_reserve.cc
+++ b/src/dispatch/core_reserve.cc
@@ -205,7 +205,7 @@
   const Duration max_wait = this->MaxWait(entry);
   this->RefuseEntry(
       entry, ErrorCode::kAdmissionExpectedWaitTooLong,
-      "every host asked would take longer",
+      "the expected wait exceeds the request's maximum wait at every owner",
       std::max(Duration{0}, entry.shortest_denied_wait - max_wait));
 }
 
--- a/src/dispatch/core_wait.cc
+++ b/src/dispatch/core_wait.cc
@@ -59,7 +59,7 @@
   const bool too_long = expected && *expected > max_wait;
   if (too_long && !this->HasUntriedOwner(entry)) {
     this->RefuseEntry(entry, ErrorCode::kAdmissionExpectedWaitTooLong,
-                      "the queue would take longer than the request may wait",
+                      "the expected wait exceeds the request's maximum wait",
                       *expected - max_wait);
     return;
   }
@@ -121,7 +121,7 @@
   const auto& all_workers = this->router.WorkersOf(submit.target);
   if (!this->router.AnyOpen(this->now, all_workers, submit.excluded)) {
     this->RefuseEntry(entry, ErrorCode::kRoutingNoUpstream,
-                      "no worker takes new work", kNoUpstreamRetryAfter);
+                      "no worker accepts new work", kNoUpstreamRetryAfter);
     return true;
   }
   const Duration waited = this->now - entry.arrived;
