--- a/src/admission/tests/lengths_test.cc
+++ b/src/admission/tests/lengths_test.cc
@@ -8,7 +8,7 @@
 
 constexpr std::uint64_t kBound = 8192;
 
-/// @brief Draws a normal deviate; twelve uniform ones are near enough.
+/// @brief Draws an approximately normal deviate from twelve uniform ones.
 double Deviate(Random* random) {
   double sum = -6.0;
   for (int i = 0; i < 12; ++i) {
@@ -20,40 +20,42 @@
 }  // namespace
 
 TEST_CASE(
-    "guessed lengths, guesses are right at the median and scatter, the sum of "
+    "length hint estimator, scattered hints with a correct median, the sum of "
     "the estimates is near the sum of the lengths",
     "[admission]") {
   constexpr double kMedian = 600.0;
   Random random(7);
-  GuessedLengths lengths;
+  LengthHintEstimator lengths;
   double expected = 0;
-  double guessed = 0;
+  double hinted = 0;
   double actual = 0;
   for (int i = 0; i < 400; ++i) {
     const double length = kMedian * std::exp(0.8 * Deviate(&random));
-    const double guess = length * std::exp(1.2 * Deviate(&random));
-    expected += lengths.Expect(
-        "draft", static_cast<std::uint64_t>(std::lround(guess)), kBound);
-    guessed += guess;
+    const double hint = length * std::exp(1.2 * Deviate(&random));
+    expected += lengths.Estimate(
+        "draft", static_cast<std::uint64_t>(std::lround(hint)), kBound);
+    hinted += hint;
     actual += length;
   }
-  CHECK(guessed > 1.6 * actual);
+  CHECK(hinted > 1.6 * actual);
   CHECK(expected > 0.85 * actual);
   CHECK(expected < 1.2 * actual);
 }
 
-TEST_CASE("guessed lengths, one wild guess, counts little", "[admission]") {
-  GuessedLengths lengths;
+TEST_CASE("length hint estimator, one outlier, has little weight",
+          "[admission]") {
+  LengthHintEstimator lengths;
   for (int i = 0; i < 8; ++i) {
-    lengths.Expect("draft", 600, kBound);
+    lengths.Estimate("draft", 600, kBound);
   }
-  CHECK(lengths.Expect("draft", 8000, kBound) < 2500.0);
-  CHECK(lengths.Expect("draft", 600, kBound) < 1100.0);
+  CHECK(lengths.Estimate("draft", 8000, kBound) < 2500.0);
+  CHECK(lengths.Estimate("draft", 600, kBound) < 1100.0);
 }
 
-TEST_CASE("guessed lengths, guess of nothing, still a token", "[admission]") {
-  GuessedLengths lengths;
-  CHECK(lengths.Expect("check", 0, 0) == 1.0);
+TEST_CASE("length hint estimator, hint of zero, estimates one token",
+          "[admission]") {
+  LengthHintEstimator lengths;
+  CHECK(lengths.Estimate("check", 0, 0) == 1.0);
 }
 
 }  // namespace limpetlink
--- a/src/dispatch/tests/network.h
+++ b/src/dispatch/tests/network.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Dispatchers of several hosts joined by a network that delays and
-/// loses, in virtual time.
+/// @brief Simulates the dispatchers of several hosts in virtual time, joined by
+/// a network that delays and loses messages.
 #pragma once
 
 #include <map>
@@ -13,8 +13,8 @@
 
 namespace limpetlink::testing {
 
-/// @brief What became of a request.
-struct Fate {
+/// @brief The state of a submitted request.
+struct RequestRecord {
   std::size_t host = 0;
   Instant submitted;
   Instant answered;  ///< placed or refused
@@ -24,13 +24,14 @@
   bool ended = false;
 };
 
-/// @brief Counts of a run.
+/// @brief Message counters of a run.
 struct Traffic {
   std::uint64_t messages = 0;
   std::uint64_t bytes = 0;
 };
 
-/// @brief Hosts, workers that run each stream for a fixed time, and a network.
+/// @brief Simulates hosts, workers that run each stream for a fixed time, and
+/// the network between the hosts.
 class Network {
  public:
   struct Settings {
@@ -44,22 +45,24 @@
 
   explicit Network(Settings settings);
 
-  /// @brief Tells the live hosts who is live; the others are cut off.
-  void SetLive(const std::vector<std::size_t>& now_live);
-  /// @brief Lets a host's messages vanish, though it stays in the lists.
-  void Silence(std::size_t host) { this->silent.insert(host); }
-  /// @brief Submits a request whose stream runs for a time.
-  std::size_t Submit(std::size_t host, Duration runs,
+  /// @brief Sets the live hosts and sends them the new list; the others are
+  /// disconnected.
+  void SetLive(const std::vector<std::size_t>& live_hosts);
+  /// @brief Drops all messages from a host, though it stays in the list of live
+  /// hosts.
+  void DropMessagesFrom(std::size_t host) { this->muted.insert(host); }
+  /// @brief Submits a request whose stream runs for the given duration.
+  std::size_t Submit(std::size_t host, Duration duration,
                      RequestClass request_class = RequestClass::kDraft);
-  /// @brief Lets virtual time pass.
-  void Run(Duration length);
+  /// @brief Advances virtual time.
+  void Advance(Duration length);
 
-  /// @return streams at a worker now, and the most there ever were
-  std::size_t At(const UpstreamId& worker) const;
-  std::size_t MostAt(const UpstreamId& worker) const;
+  /// @return streams at a worker now, and the maximum so far
+  std::size_t StreamsAt(const UpstreamId& worker) const;
+  std::size_t MaxStreamsAt(const UpstreamId& worker) const;
   std::size_t OwnerOf(std::size_t worker) const;
 
-  std::vector<Fate> fates;
+  std::vector<RequestRecord> requests;
   Traffic traffic;
   Instant now;
 
@@ -70,10 +73,10 @@
   };
 
   void Step(std::size_t host, const DispatchMessage& message);
-  void Act(std::size_t host, const DispatchAction& action);
+  void Apply(std::size_t host, const DispatchAction& action);
   void Deliver();
-  void Reports();
-  void Ends();
+  void SendReports();
+  void EndStreams();
   HostId Name(std::size_t host) const;
 
   Settings settings;
@@ -81,12 +84,12 @@
   std::shared_ptr<FleetDocument> document;
   std::vector<std::unique_ptr<Dispatcher>> hosts;
   std::set<std::size_t> live;
-  std::set<std::size_t> silent;
+  std::set<std::size_t> muted;
   std::multimap<Instant, Pending> pending;
   std::multimap<Instant, std::size_t> ends;
   std::vector<Duration> lengths;
   std::map<UpstreamId, std::size_t> running;
-  std::map<UpstreamId, std::size_t> most;
+  std::map<UpstreamId, std::size_t> max_running;
   Instant reported;
 };
 
