--- a/programs/limpet_entry/gateway_process.cc
+++ b/programs/limpet_entry/gateway_process.cc
@@ -44,7 +44,7 @@
   settings.region_of = node.region_of;
   settings.neighbour_address = node.neighbour_address;
   settings.seeds = node.seeds;
-  settings.bounds = node.bounds;
+  settings.limits = node.bounds;
   settings.seed =
       (std::uint64_t{std::random_device()()} << 32U) | std::random_device()();
   settings.store = StoreSettings(node, settings.seed);
--- a/src/gateway/detail/codec.h
+++ b/src/gateway/detail/codec.h
@@ -20,29 +20,29 @@
 namespace limpetlink {
 
 /// @brief What a caller says of its request in headers.
-struct CallerTerms {
-  std::string request_id;            ///< chosen by the caller, never reused
-  std::optional<Duration> patience;  ///< how long the caller will wait
-  std::optional<std::string> key;    ///< of its organisation
+struct CallerMetadata {
+  std::string request_id;           ///< chosen by the caller, never reused
+  std::optional<Duration> timeout;  ///< how long the caller will wait
+  std::optional<std::string> key;   ///< of its organisation
   std::optional<std::uint64_t> prompt_tokens;
   std::optional<std::uint64_t> max_output_tokens;
   std::optional<std::uint64_t> expected_output_tokens;  ///< the caller's guess
 };
 
 /// @brief Where a stream that moved goes on.
-struct ResumeTerms {
+struct ResumePoint {
   std::string source;            ///< "ip:port" of the worker that ran it
   std::string handle;            ///< of the copy
   std::uint64_t last_event = 0;  ///< id of the last event that was taken
 };
 
 /// @brief What the gateway tells a worker beside the caller's own headers.
-struct WorkerTerms {
+struct WorkerMetadata {
   Duration time_left{0};
   UpstreamId worker;  ///< no other worker may run the request
   std::optional<OrganisationId> organisation;
   std::optional<int> priority;  ///< 0 is the highest; engines only
-  std::optional<ResumeTerms> resume;
+  std::optional<ResumePoint> resume;
 };
 
 /// @brief What an engine says of the streams that it runs.
@@ -51,45 +51,45 @@
   std::uint32_t queued = 0;
   std::uint64_t memory_in_use = 0;  ///< tokens that cannot yield
   bool draining = false;            ///< it leaves
-  std::vector<RunningStream> runs;
-  std::optional<Duration> leaves_in;  ///< until it is gone, if it knows
+  std::vector<RunningStream> streams;
+  std::optional<Duration> terminates_in;  ///< until it is gone, if it knows
 };
 
 /// @brief Orders an engine to copy a stream's memory to another worker.
-struct MoveOrder {
+struct KvTransferCommand {
   std::string request_id;
-  std::string to;     ///< "ip:port" of the other worker
-  bool last = false;  ///< the run stops first; what is new is copied
+  std::string destination;  ///< "ip:port" of the other worker
+  bool final_part = false;  ///< the run stops first; what is new is copied
 };
 
 /// @brief How an order to copy ended.
-enum class MoveEnd {
+enum class KvTransferOutcome {
   kCopied,
-  kNoSuchRun,  ///< it has not begun, or has ended
-  kBusy,       ///< an order for this stream is in progress
-  kNoRoom,     ///< at the destination, or it cannot be reached
-  kUnknown,    ///< no answer that can be read
+  kNoSuchRun,   ///< it has not begun, or has ended
+  kBusy,        ///< an order for this stream is in progress
+  kNoCapacity,  ///< at the destination, or it cannot be reached
+  kUnknown,     ///< no answer that can be read
 };
 
 template <>
-struct EnumTable<MoveEnd> {
-  static constexpr EnumName<MoveEnd> kRows[] = {
-      {MoveEnd::kCopied, "copied"},
-      {MoveEnd::kNoSuchRun, "no_such_run"},
-      {MoveEnd::kBusy, "busy"},
-      {MoveEnd::kNoRoom, "no_room"},
-      {MoveEnd::kUnknown, "unknown"}};
+struct EnumTable<KvTransferOutcome> {
+  static constexpr EnumName<KvTransferOutcome> kRows[] = {
+      {KvTransferOutcome::kCopied, "copied"},
+      {KvTransferOutcome::kNoSuchRun, "no_such_run"},
+      {KvTransferOutcome::kBusy, "busy"},
+      {KvTransferOutcome::kNoCapacity, "no_room"},
+      {KvTransferOutcome::kUnknown, "unknown"}};
 };
 
 /// @brief An engine's answer to an order to copy.
-struct MoveAnswer {
-  MoveEnd end = MoveEnd::kUnknown;
-  std::string handle;  ///< names the copy; may be set with kNoRoom, then the
-                       ///< source itself holds the stopped stream
+struct KvTransferResult {
+  KvTransferOutcome outcome = KvTransferOutcome::kUnknown;
+  std::string handle;  ///< names the copy; may be set with kNoCapacity, then
+                       ///< the source itself holds the stopped stream
 };
 
 /// @brief What a worker's answer says beside its status.
-struct WorkerAnswer {
+struct WorkerResponse {
   std::string request_id;  ///< of the request that it answers; may be empty
   bool is_signed = false;  ///< it stems from a worker
   bool not_run = false;    ///< the request did not run and never will
@@ -106,18 +106,19 @@
   std::string ready_path;   ///< asked by the balancer
   std::function<absl::StatusOr<Deployment>(const ObjectRecord&)> deployment;
   std::function<absl::StatusOr<WorkerRegistration>(const ObjectRecord&)> worker;
-  std::function<absl::StatusOr<CallerTerms>(const Headers&)> caller_terms;
+  std::function<absl::StatusOr<CallerMetadata>(const Headers&)> caller_metadata;
   /// The caller's end-to-end headers without those that are the gateway's to
   /// set, and with those that the terms ask for.
-  std::function<Headers(const Headers&, const WorkerTerms&)> worker_headers;
-  std::function<WorkerAnswer(const Headers&)> worker_answer;
+  std::function<Headers(const Headers&, const WorkerMetadata&)> worker_headers;
+  std::function<WorkerResponse(const Headers&)> worker_response;
   /// Method, path, headers and body of calls to an engine; the rest of the
   /// call is the gateway's to fill in.
   std::function<HttpCall()> report_call;
-  std::function<HttpCall(const MoveOrder&)> move_call;
-  std::function<HttpCall(const std::string& handle)> release_call;
+  std::function<HttpCall(const KvTransferCommand&)> kv_transfer_call;
+  std::function<HttpCall(const std::string& handle)> kv_release_call;
   std::function<absl::StatusOr<EngineReport>(const std::string& body)> report;
-  std::function<MoveAnswer(int status, const std::string& body)> move_answer;
+  std::function<KvTransferResult(int status, const std::string& body)>
+      kv_transfer_result;
   /// The worker's end-to-end headers that callers may see.
   std::function<Headers(const Headers&)> caller_headers;
 };
--- a/src/gateway/detail/forwarded.h
+++ b/src/gateway/detail/forwarded.h
@@ -21,7 +21,7 @@
   Instant sent{};
   int status = 0;  ///< 0 until the answer's head has come
   Headers headers;
-  WorkerAnswer said;
+  WorkerResponse said;
   std::string body;
   bool relaying = false;  ///< its events go to the caller as they come
   bool paused = false;    ///< the caller is behind
@@ -58,7 +58,7 @@
 /// @brief A request without its final answer.
 struct Forwarded {
   CallerRequest request;
-  CallerTerms terms;
+  CallerMetadata terms;
   std::shared_ptr<const RouteTable> table;  ///< in force when it arrived
   const ForwardingRoute* route = nullptr;   ///< of that table
   const KeyHolder* holder = nullptr;        ///< of that table; may be missing
--- a/src/gateway/detail/forwarding.h
+++ b/src/gateway/detail/forwarding.h
@@ -129,7 +129,7 @@
   void ReplyProblem(Instant now, const RequestId& id, const Problem& problem);
   HttpCall CallFor(Instant now, const Forwarded& flow, const Attempt& attempt,
                    const std::string& address,
-                   std::optional<ResumeTerms> resume) const;
+                   std::optional<ResumePoint> resume) const;
   std::vector<LoadCandidate> Candidates(const Forwarded& flow) const;
   Distance DistanceTo(const FailureDomainId& domain) const {
     return this->DistanceBetween(this->settings.failure_domain, domain);
@@ -155,7 +155,8 @@
   void StepMove(Instant now, Forwarded* flow);
   bool ChooseDestination(Instant now, Forwarded* flow);
   void OrderCopy(Instant now, Forwarded* flow, bool last);
-  void TakeMoveAnswer(Instant now, Forwarded* flow, const MoveAnswer& answer);
+  void TakeMoveAnswer(Instant now, Forwarded* flow,
+                      const KvTransferResult& answer);
   void TakeCopied(Instant now, Forwarded* flow, const std::string& handle);
   void RetryMove(Instant now, Forwarded* flow, Duration pause);
   void Resume(Instant now, Forwarded* flow);
--- a/src/gateway/detail/gateway_host.h
+++ b/src/gateway/detail/gateway_host.h
@@ -42,7 +42,7 @@
 
   /// @brief Takes bounds of changed settings; what is in progress keeps its
   /// own.
-  void Reload(const GatewayBounds& bounds) { this->settings.bounds = bounds; }
+  void Reload(const GatewayLimits& limits) { this->settings.limits = limits; }
 
   /// @return whether the host serves requests as it should
   bool Ready(Instant now) const;
--- a/src/gateway/detail/settings.h
+++ b/src/gateway/detail/settings.h
@@ -14,21 +14,22 @@
 namespace limpetlink {
 
 /// @brief Bounds that the operators of a deployment set.
-struct GatewayBounds {
-  Duration grace{std::chrono::seconds(8)};  ///< from SIGTERM to SIGKILL
+struct GatewayLimits {
+  Duration grace_period{std::chrono::seconds(8)};  ///< from SIGTERM to SIGKILL
   /// Configuration must be in force within this time of its acceptance.
-  Duration apply{std::chrono::milliseconds(2500)};
+  Duration max_apply_delay{std::chrono::milliseconds(2500)};
   /// A key that was taken away must not work for longer.
-  Duration revocation{std::chrono::milliseconds(5000)};
+  Duration max_revocation_delay{std::chrono::milliseconds(5000)};
   /// A worker that leaves may get new work for no longer.
-  Duration drain{std::chrono::milliseconds(2500)};
+  Duration max_drain_delay{std::chrono::milliseconds(2500)};
   bool strict_revocation = true;  ///< also while the store cannot be reached
   double retry_ratio = 0.1;       ///< repeats for each request of a service
   Duration retry_window{std::chrono::seconds(10)};
 
-  friend bool operator==(const GatewayBounds& a, const GatewayBounds& b) {
-    const auto all = [](const GatewayBounds& each) {
-      return std::tie(each.grace, each.apply, each.revocation, each.drain,
+  friend bool operator==(const GatewayLimits& a, const GatewayLimits& b) {
+    const auto all = [](const GatewayLimits& each) {
+      return std::tie(each.grace_period, each.max_apply_delay,
+                      each.max_revocation_delay, each.max_drain_delay,
                       each.strict_revocation, each.retry_ratio,
                       each.retry_window);
     };
@@ -44,7 +45,7 @@
   MetadataStoreSettings store;
   std::string neighbour_address;   ///< "ip:port" for datagrams; empty: none
   std::vector<std::string> seeds;  ///< hosts that know neighbours
-  GatewayBounds bounds;
+  GatewayLimits limits;
   std::uint64_t seed = 1;
 };
 
--- a/src/gateway/forwarding.cc
+++ b/src/gateway/forwarding.cc
@@ -48,10 +48,10 @@
 }
 
 WindowBudget& Forwarding::BudgetOf(const std::string& service) {
-  const GatewayBounds& bounds = this->settings.bounds;
+  const GatewayLimits& limits = this->settings.limits;
   return this->budgets
-      .try_emplace(service, WindowBudgetSettings{bounds.retry_window,
-                                                 bounds.retry_ratio, 0.0})
+      .try_emplace(service, WindowBudgetSettings{limits.retry_window,
+                                                 limits.retry_ratio, 0.0})
       .first->second;
 }
 
@@ -98,7 +98,8 @@
     return Problem{ErrorCode::kFleetNotReady, Outcome::kNotRun,
                    "no configuration is known yet", kElsewhere};
   }
-  absl::StatusOr<CallerTerms> terms = this->codec.caller_terms(request.headers);
+  absl::StatusOr<CallerMetadata> terms =
+      this->codec.caller_metadata(request.headers);
   if (!terms.ok()) {
     return RefusalOf(terms.status());
   }
@@ -107,7 +108,7 @@
   const std::string* host = FindHeader(request.headers, "Host");
   flow->route =
       force.table->Find(host == nullptr ? std::string() : *host, request.path);
-  const bool current = force.age <= this->settings.bounds.apply;
+  const bool current = force.age <= this->settings.limits.max_apply_delay;
   if (flow->route == nullptr && !current) {
     return Problem{ErrorCode::kFleetNotReady, Outcome::kNotRun,
                    "the configuration may be outdated", kElsewhere};
@@ -122,7 +123,7 @@
   flow->service = ChooseService(*flow->route, this->random.Fraction());
   const ForwardingService* service = flow->table->Service(flow->service);
   flow->on_engine = service != nullptr && service->engine.has_value();
-  const CallerTerms& told = flow->terms;
+  const CallerMetadata& told = flow->terms;
   if (flow->on_engine) {
     const std::uint64_t most =
         std::min(told.max_output_tokens.value_or(0), kMostTokens);
@@ -137,9 +138,9 @@
     flow->size.tokens = flow->size.prompt_tokens +
                         static_cast<std::uint64_t>(std::lround(output));
   }
-  const Duration patience = std::min(
-      told.patience.value_or(flow->route->timeout), flow->route->timeout);
-  flow->deadline = now + patience;
+  const Duration timeout = std::min(told.timeout.value_or(flow->route->timeout),
+                                    flow->route->timeout);
+  flow->deadline = now + timeout;
   const std::uint64_t longest = std::min(
       told.max_output_tokens.value_or(told.expected_output_tokens.value_or(0)),
       kMostTokens);
@@ -158,9 +159,10 @@
   if (flow->route->anonymous || !force.table->NeedsKeys()) {
     return std::nullopt;
   }
-  const GatewayBounds& bounds = this->settings.bounds;
-  const bool too_old = bounds.strict_revocation &&
-                       force.age + kRevocationMargin >= bounds.revocation;
+  const GatewayLimits& limits = this->settings.limits;
+  const bool too_old =
+      limits.strict_revocation &&
+      force.age + kRevocationMargin >= limits.max_revocation_delay;
   const Problem outdated{ErrorCode::kFleetNotReady, Outcome::kNotRun,
                          "the keys known here may be outdated", kElsewhere};
   if (too_old) {
@@ -172,7 +174,7 @@
   if (flow->holder != nullptr) {
     return std::nullopt;
   }
-  if (force.age > bounds.apply) {
+  if (force.age > limits.max_apply_delay) {
     return outdated;
   }
   return Problem{ErrorCode::kRequestNoKey, Outcome::kNotRun,
@@ -226,8 +228,8 @@
 
 HttpCall Forwarding::CallFor(Instant now, const Forwarded& flow,
                              const Attempt& attempt, const std::string& address,
-                             std::optional<ResumeTerms> resume) const {
-  WorkerTerms terms;
+                             std::optional<ResumePoint> resume) const {
+  WorkerMetadata terms;
   terms.time_left = std::max(Duration{0}, flow.deadline - now);
   terms.worker = attempt.worker;
   terms.resume = std::move(resume);
--- a/src/gateway/forwarding_answers.cc
+++ b/src/gateway/forwarding_answers.cc
@@ -52,7 +52,7 @@
   attempt->headers = head.headers;
   this->loads.Started(attempt->worker, flow->size);
   this->hooks.loads_changed(now);
-  attempt->said = this->codec.worker_answer(head.headers);
+  attempt->said = this->codec.worker_response(head.headers);
   if (attempt->said.load.has_value()) {
     this->loads.Report(now, attempt->worker, *attempt->said.load);
   }
--- a/src/gateway/forwarding_moves.cc
+++ b/src/gateway/forwarding_moves.cc
@@ -159,9 +159,10 @@
     Forwarded& flow = this->flows.at(found->second);
     this->flow_of_move.erase(found);
     flow.move->call = CallId{};
-    MoveAnswer answer;
+    KvTransferResult answer;
     if (done.end == HttpEnd::kComplete) {
-      answer = this->codec.move_answer(flow.move->status, flow.move->body);
+      answer =
+          this->codec.kv_transfer_result(flow.move->status, flow.move->body);
     }
     this->TakeMoveAnswer(now, &flow, answer);
     return true;
@@ -182,7 +183,7 @@
   }
   const auto listed = [&report](const std::string& id) {
     return std::any_of(
-        report.runs.begin(), report.runs.end(),
+        report.streams.begin(), report.streams.end(),
         [&id](const RunningStream& run) { return run.request_id == id; });
   };
   std::vector<Forwarded*> own;
@@ -214,17 +215,17 @@
     speed = {service->engine->bytes_per_token, service->engine->link_mbps};
   }
   const std::vector<MoveSlot> slots =
-      PlanMoves(call.worker.id, report.runs, late, destinations, speed);
-  this->Log(
-      LogLevel::kInfo, "moves planned",
-      {{"worker", call.worker.id.value},
-       {"own_streams", std::to_string(own.size())},
-       {"reported_streams", std::to_string(report.runs.size())},
-       {"report_status", std::to_string(call.status)},
-       {"destinations", std::to_string(destinations.size())},
-       {"leaves_ms",
-        report.leaves_in ? MillisecondsText(*report.leaves_in) : "unknown"},
-       {"age_ms", MillisecondsText(now - call.noticed)}});
+      PlanMoves(call.worker.id, report.streams, late, destinations, speed);
+  this->Log(LogLevel::kInfo, "moves planned",
+            {{"worker", call.worker.id.value},
+             {"own_streams", std::to_string(own.size())},
+             {"reported_streams", std::to_string(report.streams.size())},
+             {"report_status", std::to_string(call.status)},
+             {"destinations", std::to_string(destinations.size())},
+             {"leaves_ms", report.terminates_in
+                               ? MillisecondsText(*report.terminates_in)
+                               : "unknown"},
+             {"age_ms", MillisecondsText(now - call.noticed)}});
   // The later slot counts where a stream has two.
   for (auto slot = slots.rbegin(); slot != slots.rend(); ++slot) {
     const auto flow =
@@ -326,7 +327,7 @@
     this->RetryMove(now, flow, kNoRoomPause);
     return;
   }
-  HttpCall call = this->codec.move_call(
+  HttpCall call = this->codec.kv_transfer_call(
       {flow->terms.request_id, destination->address, last});
   call.id = this->hooks.next_call_id();
   call.url = "http://" + move.source_address + call.url;
@@ -357,7 +358,7 @@
 }
 
 void Forwarding::TakeMoveAnswer(Instant now, Forwarded* flow,
-                                const MoveAnswer& answer) {
+                                const KvTransferResult& answer) {
   StreamMove& move = *flow->move;
   const bool finishing = move.phase == MovePhase::kFinishing;
   this->Log(LogLevel::kInfo, "stream copy",
@@ -365,11 +366,11 @@
              {"source", move.source.value},
              {"destination", move.destination.value},
              {"last_part", finishing ? "true" : "false"},
-             {"end", std::string(ToText(answer.end))},
+             {"end", std::string(ToText(answer.outcome))},
              {"status", std::to_string(move.status)},
              {"took_ms", MillisecondsText(now - move.stopped)},
              {"since_notice_ms", MillisecondsText(now - move.noticed)}});
-  if (answer.end == MoveEnd::kCopied) {
+  if (answer.outcome == KvTransferOutcome::kCopied) {
     this->TakeCopied(now, flow, answer.handle);
     return;
   }
@@ -388,11 +389,11 @@
     }
     return;
   }
-  switch (answer.end) {
-    case MoveEnd::kNoSuchRun:
+  switch (answer.outcome) {
+    case KvTransferOutcome::kNoSuchRun:
       this->RetryMove(now, flow, kNotBegunPause);
       return;
-    case MoveEnd::kBusy:
+    case KvTransferOutcome::kBusy:
       this->RetryMove(now, flow, kBusyPause);
       return;
     default:
@@ -475,7 +476,7 @@
   this->metrics->Add(Counter::kStreamsResumed);
   this->actions.emplace_back(
       this->CallFor(now, *flow, attempt, worker->address,
-                    ResumeTerms{move.source_address, move.handle, *last}));
+                    ResumePoint{move.source_address, move.handle, *last}));
   flow->running.push_back(std::move(attempt));
   if (move.at_source) {
     this->MoveAgain(now, flow, move);
@@ -511,7 +512,7 @@
   if (move.handle.empty()) {
     return;
   }
-  HttpCall call = this->codec.release_call(move.handle);
+  HttpCall call = this->codec.kv_release_call(move.handle);
   call.id = this->hooks.next_call_id();
   call.url = "http://" + move.source_address + call.url;
   call.connect_timeout = kOrderConnect;
--- a/src/gateway/gateway_host.cc
+++ b/src/gateway/gateway_host.cc
@@ -30,9 +30,10 @@
       store(this->settings.store, [this] { return CallId{++this->last_call}; }),
       deployments(
           {this->codec.deployment_kind,
-           FromSeconds(kProveDeployment *
-                       ToSeconds(std::min(this->settings.bounds.apply,
-                                          this->settings.bounds.revocation))),
+           FromSeconds(
+               kProveDeployment *
+               ToSeconds(std::min(this->settings.limits.max_apply_delay,
+                                  this->settings.limits.max_revocation_delay))),
            Duration{0}, this->Phase()},
           {[this](Instant now, std::vector<ObjectRecord> records) {
              for (const ObjectRecord& record : records) {
@@ -44,24 +45,24 @@
            },
            [this](Instant now) { this->neighbours.NoteProof(now); }},
           &this->store),
-      workers(
-          {this->codec.worker_kind,
-           FromSeconds(kProveWorkers * ToSeconds(this->settings.bounds.drain)),
-           kWorkersPause, this->Phase()},
-          {[this](Instant now, std::vector<ObjectRecord> records) {
-             std::vector<UpstreamId> listed;
-             listed.reserve(records.size());
-             for (const ObjectRecord& record : records) {
-               listed.push_back(UpstreamId{record.name});
-               this->TakeWorker(now, record);
-             }
-             this->directory.Retain(now, listed);
-           },
-           [this](Instant now, const ObjectRecord& record) {
-             this->TakeWorker(now, record);
-           },
-           [this](Instant now) { this->neighbours.NoteProof(now); }},
-          &this->store),
+      workers({this->codec.worker_kind,
+               FromSeconds(kProveWorkers *
+                           ToSeconds(this->settings.limits.max_drain_delay)),
+               kWorkersPause, this->Phase()},
+              {[this](Instant now, std::vector<ObjectRecord> records) {
+                 std::vector<UpstreamId> listed;
+                 listed.reserve(records.size());
+                 for (const ObjectRecord& record : records) {
+                   listed.push_back(UpstreamId{record.name});
+                   this->TakeWorker(now, record);
+                 }
+                 this->directory.Retain(now, listed);
+               },
+               [this](Instant now, const ObjectRecord& record) {
+                 this->TakeWorker(now, record);
+               },
+               [this](Instant now) { this->neighbours.NoteProof(now); }},
+              &this->store),
       forwarding(
           this->settings, this->codec,
           {[this](Instant now) {
@@ -70,8 +71,9 @@
            [this] { return CallId{++this->last_call}; },
            [this](Instant now) {
              return this->drain_began.has_value()
-                        ? *this->drain_began + this->settings.bounds.grace -
-                              kEndMargin - now
+                        ? *this->drain_began +
+                              this->settings.limits.grace_period - kEndMargin -
+                              now
                         : Duration::max();
            },
            [this](Instant now, const UpstreamId& id) {
@@ -205,9 +207,10 @@
 Actions GatewayHost::Drain(Instant now) {
   if (!this->drain_began.has_value()) {
     this->drain_began = now;
-    this->Log(LogLevel::kInfo, "shutdown began",
-              {{"requests", std::to_string(this->forwarding.Open())},
-               {"grace_ms", MillisecondsText(this->settings.bounds.grace)}});
+    this->Log(
+        LogLevel::kInfo, "shutdown began",
+        {{"requests", std::to_string(this->forwarding.Open())},
+         {"grace_ms", MillisecondsText(this->settings.limits.grace_period)}});
   }
   return this->Collect(now);
 }
@@ -352,9 +355,9 @@
   // Before keyed requests must be refused here, so that callers' next
   // connections go to hosts that reach the store. If none does, the balancer
   // takes them all.
-  const GatewayBounds& bounds = this->settings.bounds;
-  const bool keys_matter = bounds.strict_revocation && this->table->NeedsKeys();
-  return !keys_matter || this->deployments.Age(now) <= bounds.apply;
+  const GatewayLimits& limits = this->settings.limits;
+  const bool keys_matter = limits.strict_revocation && this->table->NeedsKeys();
+  return !keys_matter || this->deployments.Age(now) <= limits.max_apply_delay;
 }
 
 CallerBounds GatewayHost::Bounds() const {
@@ -409,7 +412,7 @@
   if (this->drain_began.has_value()) {
     const Duration since = now - *this->drain_began;
     this->accepts_callers = since < kAcceptWhileDraining;
-    if (since >= this->settings.bounds.grace - kEndMargin) {
+    if (since >= this->settings.limits.grace_period - kEndMargin) {
       this->forwarding.EndAll(now);
       this->accepts_callers = false;
     }
@@ -441,7 +444,7 @@
                 this->forwarding.NextWakeup(), this->neighbours.NextWakeup()});
   if (this->drain_began.has_value()) {
     const Instant end =
-        *this->drain_began + this->settings.bounds.grace - kEndMargin;
+        *this->drain_began + this->settings.limits.grace_period - kEndMargin;
     const Instant close = *this->drain_began + kAcceptWhileDraining;
     next = std::min(next, this->accepts_callers ? std::min(close, end) : end);
   }
--- a/src/gateway/tests/gateway_fixture.cc
+++ b/src/gateway/tests/gateway_fixture.cc
@@ -52,9 +52,9 @@
   codec.worker = [](const ObjectRecord& record) {
     return absl::StatusOr<WorkerRegistration>(known_workers.at(record.name));
   };
-  codec.caller_terms =
-      [](const Headers& headers) -> absl::StatusOr<CallerTerms> {
-    CallerTerms terms;
+  codec.caller_metadata =
+      [](const Headers& headers) -> absl::StatusOr<CallerMetadata> {
+    CallerMetadata terms;
     terms.request_id = GatewayFixture::HeaderOf(headers, "id");
     terms.key = GatewayFixture::HeaderOf(headers, "key");
     terms.prompt_tokens = told_prompt_tokens;
@@ -62,7 +62,8 @@
     terms.expected_output_tokens = 10;  // a guess that is far too short
     return terms;
   };
-  codec.worker_headers = [](const Headers& headers, const WorkerTerms& terms) {
+  codec.worker_headers = [](const Headers& headers,
+                            const WorkerMetadata& terms) {
     Headers sent = {
         {"id", GatewayFixture::HeaderOf(headers, "id")},
         {"worker", terms.worker.value},
@@ -79,8 +80,8 @@
     }
     return sent;
   };
-  codec.worker_answer = [](const Headers& headers) {
-    WorkerAnswer answer;
+  codec.worker_response = [](const Headers& headers) {
+    WorkerResponse answer;
     answer.request_id = GatewayFixture::HeaderOf(headers, "id");
     answer.is_signed = FindHeader(headers, "signed") != nullptr;
     answer.not_run = FindHeader(headers, "not-run") != nullptr;
@@ -92,13 +93,13 @@
     call.url = "/report";
     return call;
   };
-  codec.move_call = [](const MoveOrder& order) {
+  codec.kv_transfer_call = [](const KvTransferCommand& order) {
     HttpCall call;
-    call.url = order.last ? "/finish" : "/copy";
-    call.body = order.request_id + ">" + order.to;
+    call.url = order.final_part ? "/finish" : "/copy";
+    call.body = order.request_id + ">" + order.destination;
     return call;
   };
-  codec.release_call = [](const std::string& handle) {
+  codec.kv_release_call = [](const std::string& handle) {
     HttpCall call;
     call.url = "/release/" + handle;
     return call;
@@ -108,15 +109,15 @@
     report.draining = body == "leaving";
     return report;
   };
-  codec.move_answer = [](int status, const std::string& body) {
-    MoveAnswer answer;
+  codec.kv_transfer_result = [](int status, const std::string& body) {
+    KvTransferResult answer;
     answer.handle = body;
     if (status == 200) {
-      answer.end = MoveEnd::kCopied;
+      answer.outcome = KvTransferOutcome::kCopied;
     } else if (status == 404) {
-      answer.end = MoveEnd::kNoSuchRun;
+      answer.outcome = KvTransferOutcome::kNoSuchRun;
     } else if (status == 503) {
-      answer.end = MoveEnd::kNoRoom;
+      answer.outcome = KvTransferOutcome::kNoCapacity;
     }
     return answer;
   };
@@ -131,7 +132,7 @@
   settings.store.url = "http://store";
   settings.store.dialect = Dialect();
   settings.store.budget = {1000, 1000, 1000, 1000};
-  settings.bounds.retry_ratio = 1.0;
+  settings.limits.retry_ratio = 1.0;
   settings.neighbour_address = "10.0.0.1:7";
   settings.seeds = {"10.0.0.2:7"};
   return settings;
