--- a/src/retries/budget.cc
+++ b/src/retries/budget.cc
@@ -5,12 +5,14 @@
 namespace limpetlink {
 namespace {
 
-constexpr double kEarned = 0.1;  // retries for each first attempt
-constexpr double kMost = 100.0;  // saved up
+constexpr double kRetriesPerRequest = 0.1;  // per first attempt
+constexpr double kMaxRetries = 100.0;       // maximum balance
 
 }  // namespace
 
-void RetryBudget::Earn() { this->left = std::min(kMost, this->left + kEarned); }
+void RetryBudget::Earn() {
+  this->left = std::min(kMaxRetries, this->left + kRetriesPerRequest);
+}
 
 bool RetryBudget::Spend() {
   if (this->left < 1.0) {
--- a/src/retries/detail/budget.h
+++ b/src/retries/detail/budget.h
@@ -1,36 +1,38 @@
 /// @file
-/// @brief Bounds repeated work.
+/// @brief Limits retries to a fraction of the requests.
 #pragma once
 
 namespace limpetlink {
 
-/// @brief Each first attempt earns a tenth of a retry; a retry costs one.
+/// @brief A token bucket: each first attempt adds a tenth of a token, each
+/// retry takes one.
 class RetryBudget {
  public:
-  /// @brief Counts a first attempt.
+  /// @brief Records a first attempt.
   void Earn();
 
   /// @brief Spends one retry.
-  /// @return whether there was one to spend
+  /// @return false if the budget has none left
   bool Spend();
 
-  /// @return retries that may be spent now
+  /// @return number of retries left
   double Left() const { return this->left; }
 
  private:
-  double left = kStart;
+  double left = kInitialRetries;
 
-  static constexpr double kStart = 3.0;  ///< for a host that has just begun
+  static constexpr double kInitialRetries = 3.0;  ///< initial budget of a host
 };
 
-/// @brief What is known of a failed attempt.
+/// @brief Properties of a failed attempt.
 struct FailedAttempt {
-  bool idempotent = false;   ///< the rule of the request says so
-  bool may_have_run = true;  ///< bytes of it may have reached the worker
+  bool idempotent = false;   ///< declared by the request's rule
+  bool may_have_run = true;  ///< some of its bytes may have reached a worker
 };
 
-/// @brief Says whether a failed attempt may be repeated at all, budget aside.
-inline bool MayRepeat(const FailedAttempt& attempt) {
+/// @brief Returns whether a failed attempt may be retried, regardless of
+/// budget.
+inline bool IsRetryable(const FailedAttempt& attempt) {
   return attempt.idempotent || !attempt.may_have_run;
 }
 
--- a/src/retries/detail/hedge.h
+++ b/src/retries/detail/hedge.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Learns when a second copy of an idempotent lookup is worth sending.
+/// @brief Estimates when a hedged attempt of an idempotent lookup pays off.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +11,16 @@
 
 namespace limpetlink {
 
-/// @brief Tracks the 95th percentile of how long lookups take, by target and
-/// route.
+/// @brief Tracks the 95th percentile of lookup durations by target and route.
 class HedgeDelays {
  public:
-  /// @brief Counts a lookup's time from being sent to its whole answer.
+  /// @brief Records the duration of a lookup, from sending it to its complete
+  /// response.
   void Observe(const std::string& target, const std::string& route,
-               Duration took);
+               Duration duration);
 
-  /// @brief Gives the time after which a second copy may be sent.
-  /// @return the learnt delay, or nothing before enough lookups were seen
+  /// @brief Returns the delay after which a hedged attempt may be sent.
+  /// @return the estimate, or nullopt until enough lookups were recorded
   std::optional<Duration> Find(const std::string& target,
                                const std::string& route) const;
 
--- a/src/retries/detail/window_budget.h
+++ b/src/retries/detail/window_budget.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Bounds repeated work over a sliding window of time.
+/// @brief Limits retries within a sliding time window.
 #pragma once
 
 #include <deque>
@@ -8,37 +8,36 @@
 
 namespace limpetlink {
 
-/// @brief How many repeats a window may hold.
+/// @brief Retries allowed per window.
 struct WindowBudgetSettings {
   Duration window{std::chrono::seconds(10)};
-  double ratio = 0.1;  ///< repeats for each first attempt in the window
-  double extra = 0;    ///< repeats on top; this host's part of what all share
+  double ratio = 0.1;  ///< retries per first attempt in the window
+  double extra = 0;    ///< additional retries; this host's share
 };
 
-/// @brief Counts first attempts and repeats of the last window. At every
-/// moment the repeats of the window that ends then are at most the ratio of
-/// its first attempts plus the extra, so hosts that know nothing of each other
-/// keep a bound on their sum.
+/// @brief Counts first attempts and retries in the last window. In any window,
+/// the retries are at most `ratio` times the first attempts plus `extra`; the
+/// sum over all hosts is therefore limited too, without any coordination.
 class WindowBudget {
  public:
   explicit WindowBudget(WindowBudgetSettings settings) : settings(settings) {}
 
-  /// @brief Counts a first attempt.
+  /// @brief Records a first attempt.
   void Earn(Instant now);
 
-  /// @brief Spends one repeat.
-  /// @return whether there was one to spend
+  /// @brief Spends one retry.
+  /// @return false if the budget has none left
   bool Spend(Instant now);
 
-  /// @return repeats that may be spent now
+  /// @return number of retries left; fractional, may be negative
   double Left(Instant now);
 
  private:
   void Expire(Instant now);
 
   WindowBudgetSettings settings;
-  std::deque<Instant> firsts;
-  std::deque<Instant> repeats;
+  std::deque<Instant> requests;
+  std::deque<Instant> retries;
 };
 
 }  // namespace limpetlink
--- a/src/retries/retries.h
+++ b/src/retries/retries.h
@@ -1,6 +1,5 @@
 /// @file
-/// @brief When a request may be sent again, and when a second copy may be sent
-/// ahead of an answer.
+/// @brief Retry budgets, and the delay before hedged attempts.
 #pragma once
 
 #include "retries/detail/budget.h"
--- a/src/retries/tests/retries_test.cc
+++ b/src/retries/tests/retries_test.cc
@@ -5,26 +5,26 @@
 namespace limpetlink {
 namespace {
 
-TEST_CASE("retry budget, everything fails, repeats at most a tenth",
+TEST_CASE("retry budget, every request fails, retries at most a tenth",
           "[retries]") {
   RetryBudget budget;
-  int repeated = 0;
+  int retries = 0;
   for (int i = 0; i < 1000; ++i) {
     budget.Earn();
-    repeated += budget.Spend() ? 1 : 0;
+    retries += budget.Spend() ? 1 : 0;
   }
-  CHECK(repeated >= 100);
-  CHECK(repeated <= 103);
+  CHECK(retries >= 100);
+  CHECK(retries <= 103);
 }
 
-TEST_CASE("failed attempt, may have run, only an idempotent one is repeated",
+TEST_CASE("failed attempt, may have run, is retried only if idempotent",
           "[retries]") {
-  CHECK_FALSE(MayRepeat({false, true}));
-  CHECK(MayRepeat({true, true}));
-  CHECK(MayRepeat({false, false}));
+  CHECK_FALSE(IsRetryable({false, true}));
+  CHECK(IsRetryable({true, true}));
+  CHECK(IsRetryable({false, false}));
 }
 
-TEST_CASE("hedge delays, lookups vary, delay is near the slowest twentieth",
+TEST_CASE("hedge delays, varying lookups, delay is near the 95th percentile",
           "[retries]") {
   HedgeDelays delays;
   CHECK_FALSE(delays.Find("app", "/calendar").has_value());
