--- a/src/gateway/detail/forwarded.h
+++ b/src/gateway/detail/forwarded.h
@@ -10,7 +10,7 @@
 
 #include "gateway/detail/codec.h"
 #include "gateway/detail/event_splitter.h"
-#include "gateway/detail/final_answer.h"
+#include "gateway/detail/retry_decision.h"
 
 namespace limpetlink {
 
--- a/src/gateway/detail/forwarding.h
+++ b/src/gateway/detail/forwarding.h
@@ -148,7 +148,7 @@
   Distance DistanceBetween(const FailureDomainId& from,
                            const FailureDomainId& to) const;
 
-  // Migration; in forwarding_moves.cc.
+  // Migration; in forwarding_migration.cc.
   void RequestReport(const WorkerRegistration& worker, bool leaving,
                      Instant noticed_at);
   /// @return number of engines in this failure domain
--- a/src/gateway/final_answer.cc
+++ b/src/gateway/retry_decision.cc
@@ -1,4 +1,4 @@
-#include "gateway/detail/final_answer.h"
+#include "gateway/detail/retry_decision.h"
 
 namespace limpetlink {
 namespace {
