--- a/bench/idempotency.cc
+++ b/bench/idempotency.cc
@@ -110,18 +110,20 @@
       result.operation = create->operation;
       const bool made =
           this->objects.emplace(create->name, create->bytes).second;
-      result.end = made ? LogOperationEnd::kCreated : LogOperationEnd::kExists;
+      result.status =
+          made ? LogOperationStatus::kCreated : LogOperationStatus::kExists;
     } else if (const auto* read = std::get_if<LogRead>(&action)) {
       ++this->reads;
       result.operation = read->operation;
       const auto found = this->objects.find(read->name);
       const bool there = found != this->objects.end();
-      result.end = there ? LogOperationEnd::kFound : LogOperationEnd::kAbsent;
+      result.status =
+          there ? LogOperationStatus::kFound : LogOperationStatus::kAbsent;
       result.bytes = there ? found->second : "";
     } else if (const auto* list = std::get_if<LogList>(&action)) {
       ++this->reads;
       result.operation = list->operation;
-      result.end = LogOperationEnd::kListed;
+      result.status = LogOperationStatus::kListed;
       for (auto it = this->objects.lower_bound(list->prefix);
            it != this->objects.end() && it->first.rfind(list->prefix, 0) == 0;
            ++it) {
@@ -147,7 +149,7 @@
       this->waits.push_back(ToSeconds(this->now - this->sent.at(request)));
       this->At(this->now + std::chrono::milliseconds(100),
                [this, host, request] {
-                 KeptOutcome outcome;
+                 StoredOutcome outcome;
                  outcome.status = 201;
                  outcome.headers = {{"Content-Type", "application/json"}};
                  outcome.body = std::string(120, 'x');
--- a/src/entry/log_storage.cc
+++ b/src/entry/log_storage.cc
@@ -12,34 +12,35 @@
 
 constexpr std::uint32_t kPageSize = 1000;
 
-LogOperationEnd LogOperationEndOf(const StoreResult& result) {
+LogOperationStatus LogOperationEndOf(const StoreResult& result) {
   const bool write =
       result.verb == StoreVerb::kPut || result.verb == StoreVerb::kDelete;
   switch (result.status) {
     case StoreStatus::kOk:
       break;
     case StoreStatus::kAbsent:
-      return LogOperationEnd::kAbsent;
+      return LogOperationStatus::kAbsent;
     case StoreStatus::kConflict:
-      return LogOperationEnd::kExists;
+      return LogOperationStatus::kExists;
     case StoreStatus::kUnknown:
-      return write ? LogOperationEnd::kLost : LogOperationEnd::kUnavailable;
+      return write ? LogOperationStatus::kLost
+                   : LogOperationStatus::kUnavailable;
     case StoreStatus::kUnchanged:
     case StoreStatus::kThrottled:
     case StoreStatus::kUnavailable:
     case StoreStatus::kRefused:
     case StoreStatus::kHistoryGone:
-      return LogOperationEnd::kUnavailable;
+      return LogOperationStatus::kUnavailable;
   }
   switch (result.verb) {
     case StoreVerb::kPut:
-      return LogOperationEnd::kCreated;
+      return LogOperationStatus::kCreated;
     case StoreVerb::kDelete:
-      return LogOperationEnd::kDeleted;
+      return LogOperationStatus::kDeleted;
     case StoreVerb::kList:
-      return LogOperationEnd::kListed;
+      return LogOperationStatus::kListed;
     default:
-      return LogOperationEnd::kFound;
+      return LogOperationStatus::kFound;
   }
 }
 
--- a/src/entry/service_handler.cc
+++ b/src/entry/service_handler.cc
@@ -337,7 +337,7 @@
   this->EndAttempt(request, index, PlacementEnd::kFinished);
   this->EndAllAttempts(request, PlacementEnd::kCancelled);
   if (request.claimed) {
-    KeptOutcome outcome;
+    StoredOutcome outcome;
     outcome.status = attempt.status;
     for (const Header& header : attempt.headers) {
       outcome.headers.push_back({header.name, header.value});
@@ -518,7 +518,7 @@
     request.claim_pending = false;
     this->shared.metrics.Add(Counter::kReplays);
     Headers headers;
-    for (const KeptHeader& header : replay->outcome.headers) {
+    for (const StoredHeader& header : replay->outcome.headers) {
       headers.push_back({header.name, header.value});
     }
     this->Respond(request, replay->outcome.status, headers,
--- a/src/idempotency/detail/idempotency_log.h
+++ b/src/idempotency/detail/idempotency_log.h
@@ -22,7 +22,7 @@
 /// IdempotencyLog log(options);
 /// Carry(log.Step(now, ClaimKey{request, organisation, key, digest,
 /// deadline})); Carry(log.Step(now, LogOperationResult{op,
-/// LogOperationEnd::kCreated}));
+/// LogOperationStatus::kCreated}));
 /// // ... DispatchClaim{request}: send it once
 /// Carry(log.Step(now, RecordOutcome{request, outcome}));
 /// @endcode
@@ -53,7 +53,7 @@
   LogCounts Counts() const;
 
   /// @return shards whose last operation failed
-  std::uint32_t ShardsAway() const;
+  std::uint32_t UnavailableShards() const;
 
   /// @return a shard, for reading
   const LogShard& Shard(std::uint32_t index) const {
--- a/src/idempotency/detail/key_table.h
+++ b/src/idempotency/detail/key_table.h
@@ -33,7 +33,7 @@
 
   /// @brief Names what the next checkpoint's last part holds: the keys of an
   /// unsealed last part and those touched since.
-  std::vector<KeyedEntry> OpenEntries(std::int64_t cutoff_ms) const;
+  std::vector<KeyedEntry> UnsealedEntries(std::int64_t cutoff_ms) const;
 
   /// @return the parts of the last checkpoint
   const std::vector<CheckpointPart>& Parts() const { return this->parts; }
--- a/src/idempotency/detail/log_options.h
+++ b/src/idempotency/detail/log_options.h
@@ -20,7 +20,7 @@
   /// Least time between two segments that this host writes to a shard.
   Duration write_interval{std::chrono::milliseconds(100)};
   /// Longest wait of a claim before it is refused.
-  Duration claim_patience{std::chrono::seconds(3)};
+  Duration claim_timeout{std::chrono::seconds(3)};
   Duration retry_backoff{std::chrono::milliseconds(200)};  ///< doubles
   Duration max_retry_backoff{std::chrono::seconds(5)};
   /// How long a key is kept after its last record.
--- a/src/idempotency/detail/log_shard.h
+++ b/src/idempotency/detail/log_shard.h
@@ -27,7 +27,7 @@
   std::uint64_t segments = 0;  ///< made durable by this writer
   std::uint64_t records = 0;   ///< in those
   std::uint64_t collisions = 0;
-  std::uint64_t lost_answers = 0;
+  std::uint64_t lost_responses = 0;
   std::uint64_t stale_views = 0;  ///< found by the check after a create
   std::uint64_t checkpoints = 0;
   std::uint64_t dispatched = 0;
@@ -49,13 +49,14 @@
   /// @brief Closes a claim that must not be dispatched any more.
   void Abandon(LogContext& context, RequestId request);
   /// @brief Keeps a dispatched claim's outcome.
-  void Keep(LogContext& context, RequestId request, KeptOutcome outcome);
+  void StoreOutcome(LogContext& context, RequestId request,
+                    StoredOutcome outcome);
   /// @brief Sets a dispatched claim's key free.
   void Withdraw(LogContext& context, RequestId request);
   /// @brief Lets go of a dispatched claim whose outcome nobody knows.
-  void Forget(LogContext& context, RequestId request);
+  void MarkUnknown(LogContext& context, RequestId request);
   /// @brief Takes an operation's result in.
-  void Result(LogContext& context, const LogOperationResult& result);
+  void HandleResult(LogContext& context, const LogOperationResult& result);
   /// @brief Reads the shard if it was not read.
   void Load(LogContext& context);
   /// @brief Lets time pass.
@@ -68,7 +69,7 @@
   /// @return whether the shard was read to its end
   bool Loaded() const { return this->loaded; }
   /// @return whether the last operation on the object API failed
-  bool Away() const { return this->away; }
+  bool Unavailable() const { return this->away; }
   /// @return what was done so far
   const LogCounts& Counts() const { return this->counts; }
   /// @return the keys as far as they were read
@@ -131,7 +132,7 @@
                      const KeyEntry& entry);
   void DecideAgainstLive(LogContext& context, ClaimEntry& claim,
                          const ClaimEntry& live);
-  const KeptOutcome* OutcomeOnItsWay(const ClaimId& id) const;
+  const StoredOutcome* OutcomeOnItsWay(const ClaimId& id) const;
   bool Expired(const LogContext& context, const KeyEntry& entry) const;
   void Grant(LogContext& context, ClaimEntry& claim);
   void Close(LogContext& context, ClaimEntry& claim);
@@ -151,7 +152,7 @@
   void Read(LogContext& context, Step step, const std::string& name);
   void List(LogContext& context, Step step, const std::string& prefix);
   void Delete(LogContext& context, const std::string& name);
-  void Fail(LogContext& context, LogOperationEnd end);
+  void Fail(LogContext& context, LogOperationStatus status);
   void BackOff(LogContext& context);
   void StartLoad(LogContext& context);
   void Unload();
@@ -175,7 +176,7 @@
   void TakeCheck(LogContext& context, const LogOperationResult& result);
   void Confirm(LogContext& context);
   void TakeBack(LogContext& context);
-  void FailWrite(LogContext& context, LogOperationEnd end);
+  void FailWrite(LogContext& context, LogOperationStatus status);
   void RefuseWriting(LogContext& context);
 
   // Compaction (log_shard_compact.cc).
--- a/src/idempotency/detail/messages.h
+++ b/src/idempotency/detail/messages.h
@@ -15,17 +15,17 @@
 using LogOperationId = NumberId<struct LogOperationTag>;
 
 /// @brief One header of a kept outcome.
-struct KeptHeader {
+struct StoredHeader {
   std::string name;
   std::string value;
 };
 
 /// @brief An upstream's answer, kept to be given again.
-struct KeptOutcome {
+struct StoredOutcome {
   int status = 0;
-  std::vector<KeptHeader> headers;  ///< those worth giving again
+  std::vector<StoredHeader> headers;  ///< those worth giving again
   std::string body;
-  bool body_kept = true;  ///< false: the body was beyond the bound
+  bool body_stored = true;  ///< false: the body was beyond the bound
 };
 
 /// @brief Whether the caller may have sent the key before.
@@ -56,7 +56,7 @@
 /// @brief The upstream answered a dispatched claim.
 struct RecordOutcome {
   RequestId request;
-  KeptOutcome outcome;
+  StoredOutcome outcome;
 };
 
 /// @brief A dispatched claim certainly did not run: not connected, or the
@@ -72,7 +72,7 @@
 };
 
 /// @brief How an operation on the object API ended.
-enum class LogOperationEnd {
+enum class LogOperationStatus {
   kCreated,      ///< of a create
   kExists,       ///< of a create: the name is taken
   kFound,        ///< of a read
@@ -84,22 +84,22 @@
 };
 
 template <>
-struct EnumTable<LogOperationEnd> {
-  static constexpr EnumName<LogOperationEnd> kRows[] = {
-      {LogOperationEnd::kCreated, "created"},
-      {LogOperationEnd::kExists, "exists"},
-      {LogOperationEnd::kFound, "found"},
-      {LogOperationEnd::kAbsent, "absent"},
-      {LogOperationEnd::kListed, "listed"},
-      {LogOperationEnd::kDeleted, "deleted"},
-      {LogOperationEnd::kUnavailable, "unavailable"},
-      {LogOperationEnd::kLost, "lost"}};
+struct EnumTable<LogOperationStatus> {
+  static constexpr EnumName<LogOperationStatus> kRows[] = {
+      {LogOperationStatus::kCreated, "created"},
+      {LogOperationStatus::kExists, "exists"},
+      {LogOperationStatus::kFound, "found"},
+      {LogOperationStatus::kAbsent, "absent"},
+      {LogOperationStatus::kListed, "listed"},
+      {LogOperationStatus::kDeleted, "deleted"},
+      {LogOperationStatus::kUnavailable, "unavailable"},
+      {LogOperationStatus::kLost, "lost"}};
 };
 
 /// @brief An operation ended.
 struct LogOperationResult {
   LogOperationId operation;
-  LogOperationEnd end = LogOperationEnd::kLost;
+  LogOperationStatus status = LogOperationStatus::kLost;
   std::string bytes;               ///< of kFound
   std::vector<std::string> names;  ///< of kListed: whole names
 };
@@ -157,7 +157,7 @@
 /// @brief Give the kept outcome again.
 struct ReplayOutcome {
   RequestId request;
-  KeptOutcome outcome;
+  StoredOutcome outcome;
 };
 
 /// @brief Answer the caller with this problem; nothing was or will be sent for
--- a/src/idempotency/detail/segment.h
+++ b/src/idempotency/detail/segment.h
@@ -37,7 +37,7 @@
   KeyDigest key;
   ClaimId claim;
   std::int64_t at_ms = 0;
-  KeptOutcome outcome;
+  StoredOutcome outcome;
 };
 
 /// @brief The claim was certainly not run; the key is free.
@@ -93,7 +93,7 @@
   ClaimId claim;
   std::string body_digest;
   std::int64_t at_ms = 0;  ///< of the last record
-  KeptOutcome outcome;     ///< of kDone
+  StoredOutcome outcome;   ///< of kDone
 };
 
 /// @brief An entry with its key, as parts hold them.
--- a/src/idempotency/idempotency_log.cc
+++ b/src/idempotency/idempotency_log.cc
@@ -83,7 +83,7 @@
 void IdempotencyLog::Handle(LogContext& context, const RecordOutcome& message) {
   if (LogShard* shard = this->ShardOfRequest(message.request)) {
     const std::uint32_t index = this->requests.at(message.request);
-    shard->Keep(context, message.request, message.outcome);
+    shard->StoreOutcome(context, message.request, message.outcome);
     this->NoteActions(context.out, 0, index);
   }
 }
@@ -99,7 +99,7 @@
 void IdempotencyLog::Handle(LogContext& context, const RecordUnknown& message) {
   if (LogShard* shard = this->ShardOfRequest(message.request)) {
     const std::uint32_t index = this->requests.at(message.request);
-    shard->Forget(context, message.request);
+    shard->MarkUnknown(context, message.request);
     this->NoteActions(context.out, 0, index);
   }
 }
@@ -112,7 +112,7 @@
   }
   const std::uint32_t shard = found->second;
   this->operations.erase(found);
-  this->shards[shard].Result(context, message);
+  this->shards[shard].HandleResult(context, message);
   this->NoteActions(context.out, 0, shard);
 }
 
@@ -156,10 +156,10 @@
                      [](const LogShard& shard) { return shard.Idle(); });
 }
 
-std::uint32_t IdempotencyLog::ShardsAway() const {
+std::uint32_t IdempotencyLog::UnavailableShards() const {
   return static_cast<std::uint32_t>(
       std::count_if(this->shards.begin(), this->shards.end(),
-                    [](const LogShard& shard) { return shard.Away(); }));
+                    [](const LogShard& shard) { return shard.Unavailable(); }));
 }
 
 LogCounts IdempotencyLog::Counts() const {
@@ -173,7 +173,7 @@
     sum.segments += part.segments;
     sum.records += part.records;
     sum.collisions += part.collisions;
-    sum.lost_answers += part.lost_answers;
+    sum.lost_responses += part.lost_responses;
     sum.stale_views += part.stale_views;
     sum.checkpoints += part.checkpoints;
     sum.dispatched += part.dispatched;
--- a/src/idempotency/key_table.cc
+++ b/src/idempotency/key_table.cc
@@ -87,7 +87,8 @@
   return found == this->entries.end() ? nullptr : &found->second;
 }
 
-std::vector<KeyedEntry> KeyTable::OpenEntries(std::int64_t cutoff_ms) const {
+std::vector<KeyedEntry> KeyTable::UnsealedEntries(
+    std::int64_t cutoff_ms) const {
   std::vector<KeyedEntry> open;
   for (const KeyDigest& key : this->open_keys) {
     const KeyEntry& entry = this->entries.at(key);
--- a/src/idempotency/log_shard.cc
+++ b/src/idempotency/log_shard.cc
@@ -23,7 +23,7 @@
   entry.body_digest = claim.body_digest;
   entry.deadline = claim.deadline;
   entry.attempt = claim.attempt;
-  entry.give_up_at = context.now + context.options.claim_patience;
+  entry.give_up_at = context.now + context.options.claim_timeout;
   entry.arrival = context.counter;
   this->claims.insert_or_assign(claim.request, std::move(entry));
   this->waiting.insert(claim.request);
@@ -53,15 +53,15 @@
   return dispatched ? &found->second : nullptr;
 }
 
-void LogShard::Keep(LogContext& context, RequestId request,
-                    KeptOutcome outcome) {
+void LogShard::StoreOutcome(LogContext& context, RequestId request,
+                            StoredOutcome outcome) {
   ClaimEntry* claim = this->Dispatched(request);
   if (claim == nullptr) {
     return;
   }
   if (outcome.body.size() > context.options.max_body_bytes) {
     outcome.body.clear();
-    outcome.body_kept = false;
+    outcome.body_stored = false;
   }
   claim->phase = ClaimPhase::kClosing;
   this->Queue(
@@ -82,7 +82,7 @@
   this->Pump(context);
 }
 
-void LogShard::Forget(LogContext& context, RequestId request) {
+void LogShard::MarkUnknown(LogContext& context, RequestId request) {
   if (this->Dispatched(request) == nullptr) {
     return;
   }
@@ -154,7 +154,7 @@
                  Outcome::kNotRun, "another request with this key is running");
     return;
   }
-  const KeptOutcome* outcome =
+  const StoredOutcome* outcome =
       durable ? this->OutcomeOnItsWay(live.id) : nullptr;
   if (outcome != nullptr) {
     ++this->counts.replayed;
@@ -166,8 +166,8 @@
                Outcome::kUnknown, "a request with this key is in progress");
 }
 
-const KeptOutcome* LogShard::OutcomeOnItsWay(const ClaimId& id) const {
-  const auto find_in = [&id](const auto& queued) -> const KeptOutcome* {
+const StoredOutcome* LogShard::OutcomeOnItsWay(const ClaimId& id) const {
+  const auto find_in = [&id](const auto& queued) -> const StoredOutcome* {
     for (const QueuedRecord& record : queued) {
       const auto* kept = std::get_if<OutcomeRecord>(&record.record);
       if (kept != nullptr && kept->claim == id) {
@@ -176,7 +176,7 @@
     }
     return nullptr;
   };
-  const KeptOutcome* outcome = find_in(this->records);
+  const StoredOutcome* outcome = find_in(this->records);
   if (outcome == nullptr && this->write) {
     outcome = find_in(this->write->records);
   }
--- a/src/idempotency/log_shard_compact.cc
+++ b/src/idempotency/log_shard_compact.cc
@@ -30,7 +30,7 @@
       compaction.unused.push_back(part.name);
     }
   }
-  const auto entries = this->table.OpenEntries(checkpoint.cutoff_ms);
+  const auto entries = this->table.UnsealedEntries(checkpoint.cutoff_ms);
   compaction.part_name =
       absl::StrFormat("log-part/%04d/%s", this->index, context.NextName());
   compaction.part_bytes = EncodePart(entries);
--- a/src/idempotency/log_shard_load.cc
+++ b/src/idempotency/log_shard_load.cc
@@ -13,8 +13,9 @@
 /// wrong guess costs a create that collides.
 constexpr Duration kFreshFor = std::chrono::seconds(1);
 
-bool IsFailure(LogOperationEnd end) {
-  return end == LogOperationEnd::kUnavailable || end == LogOperationEnd::kLost;
+bool IsFailure(LogOperationStatus status) {
+  return status == LogOperationStatus::kUnavailable ||
+         status == LogOperationStatus::kLost;
 }
 
 std::uint64_t SequenceOf(const std::string& name) {
@@ -120,13 +121,14 @@
   }
 }
 
-void LogShard::Result(LogContext& context, const LogOperationResult& result) {
+void LogShard::HandleResult(LogContext& context,
+                            const LogOperationResult& result) {
   if (result.operation != this->operation) {
     return;
   }
   this->operation = LogOperationId{};
-  if (IsFailure(result.end)) {
-    this->Fail(context, result.end);
+  if (IsFailure(result.status)) {
+    this->Fail(context, result.status);
     this->Pump(context);
     return;
   }
@@ -182,12 +184,12 @@
   this->retry_at = context.now + this->backoff;
 }
 
-void LogShard::Fail(LogContext& context, LogOperationEnd end) {
-  if (end == LogOperationEnd::kLost) {
-    ++this->counts.lost_answers;
+void LogShard::Fail(LogContext& context, LogOperationStatus status) {
+  if (status == LogOperationStatus::kLost) {
+    ++this->counts.lost_responses;
   }
   if (this->write) {
-    this->FailWrite(context, end);
+    this->FailWrite(context, status);
     return;
   }
   this->BackOff(context);
@@ -237,7 +239,7 @@
 void LogShard::TakeNewest(LogContext& context,
                           const LogOperationResult& result) {
   const auto segment = DecodeSegment(result.bytes);
-  if (result.end != LogOperationEnd::kFound || !segment.ok()) {
+  if (result.status != LogOperationStatus::kFound || !segment.ok()) {
     this->Unload();  // deleted meanwhile: list again
     this->retry_at = context.now + kReloadPause;
     return;
@@ -256,8 +258,8 @@
 void LogShard::TakeCheckpoint(LogContext& context,
                               const LogOperationResult& result) {
   const auto segment = DecodeSegment(result.bytes);
-  const bool found = result.end == LogOperationEnd::kFound && segment.ok() &&
-                     segment->is_checkpoint;
+  const bool found = result.status == LogOperationStatus::kFound &&
+                     segment.ok() && segment->is_checkpoint;
   if (!found) {
     this->Unload();
     this->retry_at = context.now + kReloadPause;
@@ -282,7 +284,7 @@
 
 void LogShard::TakePart(LogContext& context, const LogOperationResult& result) {
   const auto entries = DecodePart(result.bytes);
-  if (result.end != LogOperationEnd::kFound || !entries.ok()) {
+  if (result.status != LogOperationStatus::kFound || !entries.ok()) {
     this->Unload();
     this->retry_at = context.now + kReloadPause;
     return;
@@ -303,10 +305,10 @@
 }
 
 void LogShard::TakeTail(LogContext& context, const LogOperationResult& result) {
-  if (result.end == LogOperationEnd::kFound) {
+  if (result.status == LogOperationStatus::kFound) {
     const auto segment = DecodeSegment(result.bytes);
     if (!segment.ok()) {
-      this->Fail(context, LogOperationEnd::kUnavailable);
+      this->Fail(context, LogOperationStatus::kUnavailable);
       return;
     }
     this->ApplySegment(*segment, result.bytes.size());
--- a/src/idempotency/log_shard_write.cc
+++ b/src/idempotency/log_shard_write.cc
@@ -16,7 +16,7 @@
     return kRecordBytes;
   }
   std::size_t size = kRecordBytes + outcome->outcome.body.size();
-  for (const KeptHeader& header : outcome->outcome.headers) {
+  for (const StoredHeader& header : outcome->outcome.headers) {
     size += header.name.size() + header.value.size() + 4;
   }
   return size;
@@ -69,7 +69,7 @@
 
 void LogShard::TakeCreated(LogContext& context,
                            const LogOperationResult& result) {
-  if (result.end == LogOperationEnd::kCreated) {
+  if (result.status == LogOperationStatus::kCreated) {
     this->List(context, Step::kChecking, this->FloorPrefix());
     return;
   }
@@ -79,13 +79,13 @@
 
 void LogShard::TakeReadBack(LogContext& context,
                             const LogOperationResult& result) {
-  if (result.end != LogOperationEnd::kFound) {
+  if (result.status != LogOperationStatus::kFound) {
     this->CreateAgain(context);
     return;
   }
   const auto segment = DecodeSegment(result.bytes);
   if (!segment.ok()) {
-    this->FailWrite(context, LogOperationEnd::kUnavailable);
+    this->FailWrite(context, LogOperationStatus::kUnavailable);
     return;
   }
   if (segment->nonce == this->write->segment.nonce) {
@@ -165,9 +165,9 @@
   }
 }
 
-void LogShard::FailWrite(LogContext& context, LogOperationEnd end) {
+void LogShard::FailWrite(LogContext& context, LogOperationStatus status) {
   Write& write = *this->write;
-  if (this->step == Step::kCreating && end == LogOperationEnd::kLost) {
+  if (this->step == Step::kCreating && status == LogOperationStatus::kLost) {
     write.uncertain = true;
     this->Read(context, Step::kReadingBack, this->SegmentName(write.sequence));
     return;
--- a/src/idempotency/segment.cc
+++ b/src/idempotency/segment.cc
@@ -12,9 +12,9 @@
 constexpr int kFormatVersion = 1;
 constexpr std::size_t kDigestDigits = 32;
 
-Json ToJson(const KeptOutcome& outcome) {
+Json ToJson(const StoredOutcome& outcome) {
   Json headers = Json::array();
-  for (const KeptHeader& header : outcome.headers) {
+  for (const StoredHeader& header : outcome.headers) {
     headers.push_back({header.name, header.value});
   }
   const std::vector<std::uint8_t> body(outcome.body.begin(),
@@ -22,11 +22,11 @@
   return {{"s", outcome.status},
           {"h", std::move(headers)},
           {"b", Json::binary(body)},
-          {"k", outcome.body_kept}};
+          {"k", outcome.body_stored}};
 }
 
-KeptOutcome OutcomeFrom(const Json& json) {
-  KeptOutcome outcome;
+StoredOutcome OutcomeFrom(const Json& json) {
+  StoredOutcome outcome;
   outcome.status = json.at("s").get<int>();
   for (const Json& header : json.at("h")) {
     outcome.headers.push_back(
@@ -34,7 +34,7 @@
   }
   const auto& body = json.at("b").get_binary();
   outcome.body.assign(body.begin(), body.end());
-  outcome.body_kept = json.at("k").get<bool>();
+  outcome.body_stored = json.at("k").get<bool>();
   return outcome;
 }
 
--- a/src/idempotency/tests/idempotency_log_test.cc
+++ b/src/idempotency/tests/idempotency_log_test.cc
@@ -15,7 +15,7 @@
 struct LogFixture {
   std::map<std::string, std::string> objects;
   Instant now{};
-  LogOperationEnd failure = LogOperationEnd::kCreated;  // none
+  LogOperationStatus failure = LogOperationStatus::kCreated;  // none
   bool effect_despite_failure = false;
   std::vector<LogAction> told;
   std::unique_ptr<IdempotencyLog> log;
@@ -47,16 +47,16 @@
   }
 
   std::optional<LogOperationResult> Operate(const LogAction& action) {
-    const bool fails = this->failure != LogOperationEnd::kCreated;
+    const bool fails = this->failure != LogOperationStatus::kCreated;
     if (const auto* create = std::get_if<LogCreate>(&action)) {
       const bool effect = !fails || this->effect_despite_failure;
       const bool made =
           effect && this->objects.emplace(create->name, create->bytes).second;
       const auto end =
-          made ? LogOperationEnd::kCreated : LogOperationEnd::kExists;
+          made ? LogOperationStatus::kCreated : LogOperationStatus::kExists;
       const auto told_end = fails ? this->failure : end;
       if (this->effect_despite_failure) {
-        this->failure = LogOperationEnd::kCreated;  // only this once
+        this->failure = LogOperationStatus::kCreated;  // only this once
       }
       return LogOperationResult{create->operation, told_end, "", {}};
     }
@@ -64,7 +64,7 @@
       const auto found = this->objects.find(read->name);
       const bool there = found != this->objects.end();
       const auto end =
-          there ? LogOperationEnd::kFound : LogOperationEnd::kAbsent;
+          there ? LogOperationStatus::kFound : LogOperationStatus::kAbsent;
       return LogOperationResult{read->operation,
                                 fails ? this->failure : end,
                                 there ? found->second : "",
@@ -72,8 +72,8 @@
     }
     if (const auto* list = std::get_if<LogList>(&action)) {
       LogOperationResult result{
-          list->operation, LogOperationEnd::kListed, "", {}};
-      result.end = fails ? this->failure : result.end;
+          list->operation, LogOperationStatus::kListed, "", {}};
+      result.status = fails ? this->failure : result.status;
       for (const auto& [name, bytes] : this->objects) {
         if (name.rfind(list->prefix, 0) == 0) {
           result.names.push_back(name);
@@ -84,7 +84,7 @@
     if (const auto* erase = std::get_if<LogDelete>(&action)) {
       this->objects.erase(erase->name);
       return LogOperationResult{
-          erase->operation, LogOperationEnd::kDeleted, "", {}};
+          erase->operation, LogOperationStatus::kDeleted, "", {}};
     }
     return std::nullopt;
   }
@@ -110,7 +110,7 @@
   }
 
   void Finish(RequestId request, const std::string& body) {
-    KeptOutcome outcome;
+    StoredOutcome outcome;
     outcome.status = 201;
     outcome.headers = {{"Content-Type", "text/plain"}};
     outcome.body = body;
@@ -191,7 +191,7 @@
 
 TEST_CASE_METHOD(LogFixture, "platform away, claim, is refused at once") {
   this->Claim("before");
-  this->failure = LogOperationEnd::kUnavailable;
+  this->failure = LogOperationStatus::kUnavailable;
   const Instant start = this->now;
   const RequestId first = this->Claim("a", "b", ClaimAttempt::kFirst);
   const RequestId again = this->Claim("c");
@@ -201,7 +201,7 @@
   CHECK(problem.outcome == Outcome::kNotRun);
   CHECK(problem.retry_after.has_value());
   CHECK(this->Told<RefuseClaim>(again)->problem.outcome == Outcome::kUnknown);
-  this->failure = LogOperationEnd::kCreated;
+  this->failure = LogOperationStatus::kCreated;
   this->Pass(seconds(20));
   CHECK(this->Told<DispatchClaim>(this->Claim("a")) != nullptr);
   CHECK(this->Told<DispatchClaim>(first) == nullptr);
@@ -210,19 +210,19 @@
 TEST_CASE_METHOD(LogFixture,
                  "create, answer lost after the write, dispatches") {
   this->Claim("before");
-  this->failure = LogOperationEnd::kLost;
+  this->failure = LogOperationStatus::kLost;
   this->effect_despite_failure = true;
   const RequestId request = this->Claim("k");
   CHECK(this->Told<DispatchClaim>(request) != nullptr);
-  CHECK(this->log->Counts().lost_answers == 1);
+  CHECK(this->log->Counts().lost_responses == 1);
 }
 
 TEST_CASE_METHOD(LogFixture, "create, no answer at all, frees the key later") {
   this->Claim("before");
-  this->failure = LogOperationEnd::kLost;
+  this->failure = LogOperationStatus::kLost;
   const RequestId request = this->Claim("k", "b", ClaimAttempt::kFirst);
   CHECK(this->RefusedWith(request) == ErrorCode::kIdempotencyLogUnavailable);
-  this->failure = LogOperationEnd::kCreated;
+  this->failure = LogOperationStatus::kCreated;
   this->Pass(seconds(20));
   CHECK(this->log->Idle() == false);  // "before" is still in progress
   CHECK(this->Told<DispatchClaim>(request) == nullptr);
@@ -280,7 +280,7 @@
   const auto* replay = this->Told<ReplayOutcome>(again);
   REQUIRE(replay != nullptr);
   CHECK(replay->outcome.status == 201);
-  CHECK_FALSE(replay->outcome.body_kept);
+  CHECK_FALSE(replay->outcome.body_stored);
 }
 
 TEST_CASE("segment, damaged anywhere, is an error and nothing else") {
--- a/src/idempotency/tests/log_world.cc
+++ b/src/idempotency/tests/log_world.cc
@@ -249,7 +249,7 @@
   const bool away = this->now < this->outage_until && !this->healed;
   const bool refused = !this->healed && this->Chance(this->options.unavailable);
   if (away || refused) {
-    this->Reply(host, {operation, LogOperationEnd::kUnavailable, "", {}},
+    this->Reply(host, {operation, LogOperationStatus::kUnavailable, "", {}},
                 this->Millis(1, 20));
     return;
   }
@@ -273,9 +273,9 @@
       LogOperationResult result = effect();
       result.operation = operation;
       const bool lie = (this->options.broken == BrokenRule::kExistsIsCreated &&
-                        result.end == LogOperationEnd::kExists);
+                        result.status == LogOperationStatus::kExists);
       if (lie) {
-        result.end = LogOperationEnd::kCreated;
+        result.status = LogOperationStatus::kCreated;
       }
       if (!lost && !timed_out && this->hosts[host].start == this_start) {
         this->Reply(host, result, this->Millis(1, 15));
@@ -287,7 +287,7 @@
         writes && this->options.broken == BrokenRule::kLostIsCreated;
     this->Reply(host,
                 {operation,
-                 lie ? LogOperationEnd::kCreated : LogOperationEnd::kLost,
+                 lie ? LogOperationStatus::kCreated : LogOperationStatus::kLost,
                  "",
                  {}},
                 kCallTimeout);
@@ -301,8 +301,8 @@
         [this, name = create->name, bytes = create->bytes] {
           LogOperationResult result;
           const bool made = this->objects.emplace(name, bytes).second;
-          result.end =
-              made ? LogOperationEnd::kCreated : LogOperationEnd::kExists;
+          result.status =
+              made ? LogOperationStatus::kCreated : LogOperationStatus::kExists;
           return result;
         },
         true);
@@ -313,8 +313,8 @@
           LogOperationResult result;
           const auto found = this->objects.find(name);
           const bool there = found != this->objects.end();
-          result.end =
-              there ? LogOperationEnd::kFound : LogOperationEnd::kAbsent;
+          result.status =
+              there ? LogOperationStatus::kFound : LogOperationStatus::kAbsent;
           result.bytes = there ? found->second : "";
           return result;
         },
@@ -326,7 +326,7 @@
         host, list->operation,
         [this, prefix = list->prefix, blind] {
           LogOperationResult result;
-          result.end = LogOperationEnd::kListed;
+          result.status = LogOperationStatus::kListed;
           for (auto it = this->objects.lower_bound(prefix);
                !blind && it != this->objects.end() &&
                it->first.rfind(prefix, 0) == 0;
@@ -341,7 +341,7 @@
         host, erase->operation,
         [this, name = erase->name] {
           this->objects.erase(name);
-          return LogOperationResult{{}, LogOperationEnd::kDeleted, "", {}};
+          return LogOperationResult{{}, LogOperationStatus::kDeleted, "", {}};
         },
         true);
   } else if (const auto* dispatch = std::get_if<DispatchClaim>(&action)) {
@@ -412,7 +412,7 @@
         this->Step(host, RecordUnknown{request});
         return;
       }
-      KeptOutcome outcome;
+      StoredOutcome outcome;
       outcome.status = 200;
       outcome.body =
           order.key + "/" + order.body + "/" + std::to_string(attempt);
