--- a/src/idempotency/detail/idempotency_log.h
+++ b/src/idempotency/detail/idempotency_log.h
@@ -72,8 +72,8 @@
   void Handle(LogContext& context, const LogTick& message);
 
   LogShard* ShardOfRequest(RequestId request);
-  void NoteActions(const LogActions& actions, std::size_t from,
-                   std::uint32_t shard);
+  void TrackActions(const LogActions& actions, std::size_t from,
+                    std::uint32_t shard);
   std::uint32_t ShardOf(const KeyDigest& key) const;
 
   LogOptions options;
--- a/src/idempotency/detail/key_table.h
+++ b/src/idempotency/detail/key_table.h
@@ -44,10 +44,10 @@
   void Apply(const IntentRecord& record);
   void Apply(const OutcomeRecord& record);
   void Apply(const WithdrawRecord& record);
-  void Drop(std::int64_t cutoff_ms);
+  void RemoveExpired(std::int64_t cutoff_ms);
 
   std::map<KeyDigest, KeyEntry> entries;
-  std::set<KeyDigest> open_keys;  ///< in no sealed part in their last state
+  std::set<KeyDigest> unsealed_keys;  ///< in no sealed part in their last state
   std::vector<CheckpointPart> parts;
 };
 
--- a/src/idempotency/detail/log_options.h
+++ b/src/idempotency/detail/log_options.h
@@ -42,10 +42,10 @@
   LogActions& out;
 
   /// @return a number that was not used before
-  std::uint64_t Next() { return ++this->counter; }
+  std::uint64_t NextNumber() { return ++this->counter; }
   /// @return a name of this writer that was not used before
   std::string NextName() {
-    return this->options.writer + "-" + std::to_string(this->Next());
+    return this->options.writer + "-" + std::to_string(this->NextNumber());
   }
 };
 
--- a/src/idempotency/detail/log_shard.h
+++ b/src/idempotency/detail/log_shard.h
@@ -69,7 +69,7 @@
   /// @return whether the shard was read to its end
   bool Loaded() const { return this->loaded; }
   /// @return whether the last operation on the object API failed
-  bool Unavailable() const { return this->away; }
+  bool Unavailable() const { return this->unavailable; }
   /// @return what was done so far
   const LogCounts& Counts() const { return this->counts; }
   /// @return the keys as far as they were read
@@ -86,12 +86,12 @@
     kCheckingTail,
     kCreating,
     kReadingBack,
-    kChecking,
+    kCheckingWrite,
     kCreatingPart,
     kCreatingFloor,
   };
   enum class ClaimPhase { kWaiting, kWriting, kDispatched, kClosing };
-  enum class Need { kNothing, kWrite, kTail };
+  enum class Requirement { kNone, kWrite, kTailRead };
 
   struct ClaimEntry {
     RequestId request;
@@ -99,17 +99,17 @@
     ClaimId id;
     std::string body_digest;
     Instant deadline;
-    Instant give_up_at;
+    Instant times_out_at;
     ClaimAttempt attempt = ClaimAttempt::kMaybeRepeated;
     ClaimPhase phase = ClaimPhase::kWaiting;
     std::uint64_t arrival = 0;  ///< operations from here on show a fresh view
     bool tail_confirmed = false;
-    bool answered = false;  ///< must not be dispatched any more
+    bool cancelled = false;  ///< must not be dispatched any more
   };
   struct QueuedRecord {
     LogRecord record;
     RequestId request;
-    bool reported = false;  ///< OutcomeRecorded is due
+    bool notify = false;  ///< OutcomeRecorded is due
   };
   struct Write {
     std::uint64_t sequence = 0;
@@ -127,65 +127,66 @@
   };
 
   // Claims (log_shard.cc).
-  Need Decide(LogContext& context, ClaimEntry& claim);
-  Need DecideByEntry(LogContext& context, ClaimEntry& claim,
-                     const KeyEntry& entry);
-  void DecideAgainstLive(LogContext& context, ClaimEntry& claim,
-                         const ClaimEntry& live);
-  const StoredOutcome* OutcomeOnItsWay(const ClaimId& id) const;
-  bool Expired(const LogContext& context, const KeyEntry& entry) const;
+  Requirement Decide(LogContext& context, ClaimEntry& claim);
+  Requirement DecideByEntry(LogContext& context, ClaimEntry& claim,
+                            const KeyEntry& entry);
+  void DecideAgainstActive(LogContext& context, ClaimEntry& claim,
+                           const ClaimEntry& active);
+  const StoredOutcome* FindUnconfirmedOutcome(const ClaimId& id) const;
+  bool IsExpired(const LogContext& context, const KeyEntry& entry) const;
   void Grant(LogContext& context, ClaimEntry& claim);
   void Close(LogContext& context, ClaimEntry& claim);
-  void Answer(LogContext& context, ClaimEntry& claim, ErrorCode code,
+  void Refuse(LogContext& context, ClaimEntry& claim, ErrorCode code,
               Outcome outcome, std::string_view detail);
   void RefuseUnavailable(LogContext& context, ClaimEntry& claim);
   void RefuseWaiting(LogContext& context);
-  void GiveUpLate(LogContext& context);
+  void RefuseTimedOut(LogContext& context);
   void Remove(RequestId request);
-  void Queue(LogRecord record, RequestId request, bool reported);
-  ClaimEntry* Dispatched(RequestId request);
+  void QueueRecord(LogRecord record, RequestId request, bool notify);
+  ClaimEntry* FindDispatched(RequestId request);
 
   // Operations (log_shard_load.cc).
-  void Pump(LogContext& context);
+  void StartNextOperation(LogContext& context);
   void Create(LogContext& context, Step step, const std::string& name,
               const std::string& bytes);
   void Read(LogContext& context, Step step, const std::string& name);
   void List(LogContext& context, Step step, const std::string& prefix);
   void Delete(LogContext& context, const std::string& name);
-  void Fail(LogContext& context, LogOperationStatus status);
+  void HandleFailure(LogContext& context, LogOperationStatus status);
   void BackOff(LogContext& context);
   void StartLoad(LogContext& context);
   void Unload();
   void ReadTail(LogContext& context, bool for_write = false);
-  void SetFresh(const LogContext& context);
-  void TakeNames(LogContext& context, const LogOperationResult& result);
-  void TakeNewest(LogContext& context, const LogOperationResult& result);
-  void TakeCheckpoint(LogContext& context, const LogOperationResult& result);
-  void TakePart(LogContext& context, const LogOperationResult& result);
+  void MarkViewFresh(const LogContext& context);
+  void HandleSegmentList(LogContext& context, const LogOperationResult& result);
+  void HandleNewestSegment(LogContext& context,
+                           const LogOperationResult& result);
+  void HandleCheckpoint(LogContext& context, const LogOperationResult& result);
+  void HandlePart(LogContext& context, const LogOperationResult& result);
   void ReadNextPart(LogContext& context);
-  void TakeTail(LogContext& context, const LogOperationResult& result);
-  void TakeTailCheck(LogContext& context, const LogOperationResult& result);
+  void HandleTail(LogContext& context, const LogOperationResult& result);
+  void HandleTailCheck(LogContext& context, const LogOperationResult& result);
   void ApplySegment(const Segment& segment, std::size_t bytes);
-  std::uint64_t Floor(const std::vector<std::string>& names);
+  std::uint64_t UpdateFloors(const std::vector<std::string>& names);
 
   // Writing (log_shard_write.cc).
-  void StartWrite(LogContext& context, const std::vector<RequestId>& wanting);
-  void CreateAgain(LogContext& context);
-  void TakeCreated(LogContext& context, const LogOperationResult& result);
-  void TakeReadBack(LogContext& context, const LogOperationResult& result);
-  void TakeCheck(LogContext& context, const LogOperationResult& result);
-  void Confirm(LogContext& context);
-  void TakeBack(LogContext& context);
+  void StartWrite(LogContext& context, const std::vector<RequestId>& requests);
+  void CreateSegment(LogContext& context);
+  void HandleCreated(LogContext& context, const LogOperationResult& result);
+  void HandleReadBack(LogContext& context, const LogOperationResult& result);
+  void HandleWriteCheck(LogContext& context, const LogOperationResult& result);
+  void ConfirmWrite(LogContext& context);
+  void RollBackWrite(LogContext& context);
   void FailWrite(LogContext& context, LogOperationStatus status);
   void RefuseWriting(LogContext& context);
 
   // Compaction (log_shard_compact.cc).
   bool CompactionDue() const;
   void StartCompaction(LogContext& context);
-  void TakePartCreated(LogContext& context);
-  void DropCompaction(LogContext& context);
-  void StartFloor(LogContext& context);
-  void TakeFloor(LogContext& context);
+  void HandlePartCreated(LogContext& context);
+  void AbortCompaction(LogContext& context);
+  void CreateFloor(LogContext& context);
+  void HandleFloorCreated(LogContext& context);
 
   std::string SegmentName(std::uint64_t sequence) const;
   std::string SegmentPrefix() const;
@@ -195,8 +196,8 @@
   std::uint32_t segments_per_checkpoint;
   KeyTable table;
   bool loaded = false;
-  bool wanted = false;  ///< a load was asked for
-  bool away = false;
+  bool load_requested = false;  ///< a load was asked for
+  bool unavailable = false;
   Step step = Step::kIdle;
   LogOperationId operation;  ///< the open one, or 0
   LogOperationId tail_read;  ///< the last read that found the end
@@ -211,7 +212,7 @@
   std::uint32_t segments_since = 0;  ///< the last checkpoint
   std::size_t bytes_since = 0;
   bool last_was_own = false;
-  Instant fresh_until;          ///< no other writer is expected until then
+  Instant view_fresh_until;     ///< no other writer is expected until then
   bool tail_for_write = false;  ///< the open read of the tail precedes a write
   std::set<std::uint64_t> present;  ///< segments that may exist
   std::set<std::string> floors;     ///< floor objects that may exist
@@ -219,7 +220,7 @@
   std::size_t loading_part = 0;
   std::map<RequestId, ClaimEntry> claims;
   std::set<RequestId> waiting;
-  std::map<KeyDigest, RequestId> live;
+  std::map<KeyDigest, RequestId> active_claims;
   std::deque<QueuedRecord> records;
   std::optional<Write> write;
   std::optional<Compaction> compaction;
--- a/src/idempotency/idempotency_log.cc
+++ b/src/idempotency/idempotency_log.cc
@@ -43,8 +43,8 @@
   return found == this->requests.end() ? nullptr : &this->shards[found->second];
 }
 
-void IdempotencyLog::NoteActions(const LogActions& actions, std::size_t from,
-                                 std::uint32_t shard) {
+void IdempotencyLog::TrackActions(const LogActions& actions, std::size_t from,
+                                  std::uint32_t shard) {
   for (std::size_t i = from; i < actions.size(); ++i) {
     const LogAction& action = actions[i];
     if (const auto* create = std::get_if<LogCreate>(&action)) {
@@ -68,14 +68,14 @@
   const std::uint32_t shard = this->ShardOf(key);
   this->requests[message.request] = shard;
   this->shards[shard].Claim(context, message, key);
-  this->NoteActions(context.out, 0, shard);
+  this->TrackActions(context.out, 0, shard);
 }
 
 void IdempotencyLog::Handle(LogContext& context, const AbandonClaim& message) {
   if (LogShard* shard = this->ShardOfRequest(message.request)) {
     const std::uint32_t index = this->requests.at(message.request);
     shard->Abandon(context, message.request);
-    this->NoteActions(context.out, 0, index);
+    this->TrackActions(context.out, 0, index);
     this->requests.erase(message.request);
   }
 }
@@ -84,7 +84,7 @@
   if (LogShard* shard = this->ShardOfRequest(message.request)) {
     const std::uint32_t index = this->requests.at(message.request);
     shard->StoreOutcome(context, message.request, message.outcome);
-    this->NoteActions(context.out, 0, index);
+    this->TrackActions(context.out, 0, index);
   }
 }
 
@@ -92,7 +92,7 @@
   if (LogShard* shard = this->ShardOfRequest(message.request)) {
     const std::uint32_t index = this->requests.at(message.request);
     shard->Withdraw(context, message.request);
-    this->NoteActions(context.out, 0, index);
+    this->TrackActions(context.out, 0, index);
   }
 }
 
@@ -100,7 +100,7 @@
   if (LogShard* shard = this->ShardOfRequest(message.request)) {
     const std::uint32_t index = this->requests.at(message.request);
     shard->MarkUnknown(context, message.request);
-    this->NoteActions(context.out, 0, index);
+    this->TrackActions(context.out, 0, index);
   }
 }
 
@@ -113,7 +113,7 @@
   const std::uint32_t shard = found->second;
   this->operations.erase(found);
   this->shards[shard].HandleResult(context, message);
-  this->NoteActions(context.out, 0, shard);
+  this->TrackActions(context.out, 0, shard);
 }
 
 void IdempotencyLog::Handle(LogContext& context, const SetLogClock& message) {
@@ -122,16 +122,16 @@
 }
 
 void IdempotencyLog::Handle(LogContext& context, const LoadShards& message) {
-  std::vector<std::uint32_t> wanted = message.shards;
-  if (wanted.empty()) {
+  std::vector<std::uint32_t> requested = message.shards;
+  if (requested.empty()) {
     for (std::uint32_t i = 0; i < this->options.shards; ++i) {
-      wanted.push_back(i);
+      requested.push_back(i);
     }
   }
-  for (const std::uint32_t index : wanted) {
+  for (const std::uint32_t index : requested) {
     const std::size_t from = context.out.size();
     this->shards.at(index).Load(context);
-    this->NoteActions(context.out, from, index);
+    this->TrackActions(context.out, from, index);
   }
 }
 
@@ -139,7 +139,7 @@
   for (std::uint32_t i = 0; i < this->options.shards; ++i) {
     const std::size_t from = context.out.size();
     this->shards[i].Tick(context);
-    this->NoteActions(context.out, from, i);
+    this->TrackActions(context.out, from, i);
   }
 }
 
--- a/src/idempotency/key_table.cc
+++ b/src/idempotency/key_table.cc
@@ -25,11 +25,11 @@
   KeyEntry entry;
   entry.claim = record.claim;
   entry.body_digest = record.body_digest;
-  const bool known = found != this->entries.end();
+  const bool exists = found != this->entries.end();
   entry.at_ms =
-      known ? std::max(record.at_ms, found->second.at_ms) : record.at_ms;
+      exists ? std::max(record.at_ms, found->second.at_ms) : record.at_ms;
   this->entries.insert_or_assign(record.key, std::move(entry));
-  this->open_keys.insert(record.key);
+  this->unsealed_keys.insert(record.key);
 }
 
 void KeyTable::Apply(const OutcomeRecord& record) {
@@ -41,7 +41,7 @@
   found->second.state = KeyState::kDone;
   found->second.at_ms = std::max(record.at_ms, found->second.at_ms);
   found->second.outcome = record.outcome;
-  this->open_keys.insert(record.key);
+  this->unsealed_keys.insert(record.key);
 }
 
 void KeyTable::Apply(const WithdrawRecord& record) {
@@ -52,29 +52,29 @@
   }
   found->second.state = KeyState::kWithdrawn;
   found->second.at_ms = std::max(record.at_ms, found->second.at_ms);
-  this->open_keys.insert(record.key);
+  this->unsealed_keys.insert(record.key);
 }
 
 void KeyTable::ApplyPart(const std::vector<KeyedEntry>& entries) {
-  this->open_keys.clear();
+  this->unsealed_keys.clear();
   for (const KeyedEntry& keyed : entries) {
     this->entries.insert_or_assign(keyed.key, keyed.entry);
-    this->open_keys.insert(keyed.key);
+    this->unsealed_keys.insert(keyed.key);
   }
 }
 
 void KeyTable::ApplyCheckpoint(const Checkpoint& checkpoint) {
   this->parts = checkpoint.parts;
   if (this->parts.empty() || this->parts.back().sealed) {
-    this->open_keys.clear();
+    this->unsealed_keys.clear();
   }
-  this->Drop(checkpoint.cutoff_ms);
+  this->RemoveExpired(checkpoint.cutoff_ms);
 }
 
-void KeyTable::Drop(std::int64_t cutoff_ms) {
+void KeyTable::RemoveExpired(std::int64_t cutoff_ms) {
   for (auto it = this->entries.begin(); it != this->entries.end();) {
     if (it->second.at_ms <= cutoff_ms) {
-      this->open_keys.erase(it->first);
+      this->unsealed_keys.erase(it->first);
       it = this->entries.erase(it);
     } else {
       ++it;
@@ -89,14 +89,14 @@
 
 std::vector<KeyedEntry> KeyTable::UnsealedEntries(
     std::int64_t cutoff_ms) const {
-  std::vector<KeyedEntry> open;
-  for (const KeyDigest& key : this->open_keys) {
+  std::vector<KeyedEntry> unsealed;
+  for (const KeyDigest& key : this->unsealed_keys) {
     const KeyEntry& entry = this->entries.at(key);
     if (entry.at_ms > cutoff_ms) {
-      open.push_back({key, entry});
+      unsealed.push_back({key, entry});
     }
   }
-  return open;
+  return unsealed;
 }
 
 }  // namespace limpetlink
--- a/src/idempotency/log_shard.cc
+++ b/src/idempotency/log_shard.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Duration kInProgressRetry = std::chrono::seconds(1);
-constexpr Duration kLeastRetryAfter = std::chrono::seconds(1);
+constexpr Duration kMinRetryAfter = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -23,14 +23,14 @@
   entry.body_digest = claim.body_digest;
   entry.deadline = claim.deadline;
   entry.attempt = claim.attempt;
-  entry.give_up_at = context.now + context.options.claim_timeout;
+  entry.times_out_at = context.now + context.options.claim_timeout;
   entry.arrival = context.counter;
   this->claims.insert_or_assign(claim.request, std::move(entry));
   this->waiting.insert(claim.request);
-  if (this->away) {
+  if (this->unavailable) {
     this->RefuseWaiting(context);
   }
-  this->Pump(context);
+  this->StartNextOperation(context);
 }
 
 void LogShard::Abandon(LogContext& context, RequestId request) {
@@ -41,12 +41,12 @@
   ClaimEntry& claim = found->second;
   if (claim.phase == ClaimPhase::kWaiting ||
       claim.phase == ClaimPhase::kWriting) {
-    claim.answered = true;
+    claim.cancelled = true;
   }
-  this->Pump(context);
+  this->StartNextOperation(context);
 }
 
-LogShard::ClaimEntry* LogShard::Dispatched(RequestId request) {
+LogShard::ClaimEntry* LogShard::FindDispatched(RequestId request) {
   const auto found = this->claims.find(request);
   const bool dispatched = found != this->claims.end() &&
                           found->second.phase == ClaimPhase::kDispatched;
@@ -55,7 +55,7 @@
 
 void LogShard::StoreOutcome(LogContext& context, RequestId request,
                             StoredOutcome outcome) {
-  ClaimEntry* claim = this->Dispatched(request);
+  ClaimEntry* claim = this->FindDispatched(request);
   if (claim == nullptr) {
     return;
   }
@@ -64,34 +64,34 @@
     outcome.body_stored = false;
   }
   claim->phase = ClaimPhase::kClosing;
-  this->Queue(
+  this->QueueRecord(
       OutcomeRecord{claim->key, claim->id, context.unix_ms, std::move(outcome)},
       request, true);
-  this->Pump(context);
+  this->StartNextOperation(context);
 }
 
 void LogShard::Withdraw(LogContext& context, RequestId request) {
-  ClaimEntry* claim = this->Dispatched(request);
+  ClaimEntry* claim = this->FindDispatched(request);
   if (claim == nullptr) {
     return;
   }
   claim->phase = ClaimPhase::kClosing;
-  claim->answered = true;
-  this->Queue(WithdrawRecord{claim->key, claim->id, context.unix_ms}, request,
-              true);
-  this->Pump(context);
+  claim->cancelled = true;
+  this->QueueRecord(WithdrawRecord{claim->key, claim->id, context.unix_ms},
+                    request, true);
+  this->StartNextOperation(context);
 }
 
 void LogShard::MarkUnknown(LogContext& context, RequestId request) {
-  if (this->Dispatched(request) == nullptr) {
+  if (this->FindDispatched(request) == nullptr) {
     return;
   }
   this->Remove(request);
   context.out.emplace_back(OutcomeRecorded{request});
 }
 
-void LogShard::Queue(LogRecord record, RequestId request, bool reported) {
-  this->records.push_back({std::move(record), request, reported});
+void LogShard::QueueRecord(LogRecord record, RequestId request, bool notify) {
+  this->records.push_back({std::move(record), request, notify});
 }
 
 void LogShard::Remove(RequestId request) {
@@ -99,19 +99,20 @@
   if (found == this->claims.end()) {
     return;
   }
-  const auto holder = this->live.find(found->second.key);
-  if (holder != this->live.end() && holder->second == request) {
-    this->live.erase(holder);
+  const auto holder = this->active_claims.find(found->second.key);
+  if (holder != this->active_claims.end() && holder->second == request) {
+    this->active_claims.erase(holder);
   }
   this->waiting.erase(request);
   this->claims.erase(found);
 }
 
-bool LogShard::Expired(const LogContext& context, const KeyEntry& entry) const {
+bool LogShard::IsExpired(const LogContext& context,
+                         const KeyEntry& entry) const {
   return entry.at_ms + context.options.retention.count() < context.unix_ms;
 }
 
-LogShard::Need LogShard::Decide(LogContext& context, ClaimEntry& claim) {
+LogShard::Requirement LogShard::Decide(LogContext& context, ClaimEntry& claim) {
   const KeyEntry* entry = this->table.Find(claim.key);
   const bool own = entry != nullptr && entry->state == KeyState::kPending &&
                    entry->claim == claim.id;
@@ -119,54 +120,55 @@
     const bool genuine =
         this->loaded && this->verified_sequence == this->next_sequence;
     if (!genuine) {
-      return Need::kTail;
+      return Requirement::kTailRead;
     }
     this->Grant(context, claim);
-    return Need::kNothing;
+    return Requirement::kNone;
   }
-  if (claim.answered) {
+  if (claim.cancelled) {
     this->Remove(claim.request);
-    return Need::kNothing;
+    return Requirement::kNone;
   }
-  const auto holder = this->live.find(claim.key);
-  if (holder != this->live.end()) {
-    this->DecideAgainstLive(context, claim, this->claims.at(holder->second));
-    return Need::kNothing;
+  const auto holder = this->active_claims.find(claim.key);
+  if (holder != this->active_claims.end()) {
+    this->DecideAgainstActive(context, claim, this->claims.at(holder->second));
+    return Requirement::kNone;
   }
   if (entry == nullptr || entry->state == KeyState::kWithdrawn ||
-      this->Expired(context, *entry)) {
-    return Need::kWrite;
+      this->IsExpired(context, *entry)) {
+    return Requirement::kWrite;
   }
   return this->DecideByEntry(context, claim, *entry);
 }
 
-void LogShard::DecideAgainstLive(LogContext& context, ClaimEntry& claim,
-                                 const ClaimEntry& live) {
-  if (live.answered) {
+void LogShard::DecideAgainstActive(LogContext& context, ClaimEntry& claim,
+                                   const ClaimEntry& active) {
+  if (active.cancelled) {
     // Being withdrawn: the key may be free by now, and taken by another host.
     this->RefuseUnavailable(context, claim);
     return;
   }
-  // While the live claim's intent is not durable nothing is known of the key.
-  const bool durable = live.phase != ClaimPhase::kWriting;
-  if (durable && live.body_digest != claim.body_digest) {
-    this->Answer(context, claim, ErrorCode::kIdempotencyKeyReused,
+  // While the active_claims claim's intent is not durable nothing is known of
+  // the key.
+  const bool durable = active.phase != ClaimPhase::kWriting;
+  if (durable && active.body_digest != claim.body_digest) {
+    this->Refuse(context, claim, ErrorCode::kIdempotencyKeyReused,
                  Outcome::kNotRun, "another request with this key is running");
     return;
   }
   const StoredOutcome* outcome =
-      durable ? this->OutcomeOnItsWay(live.id) : nullptr;
+      durable ? this->FindUnconfirmedOutcome(active.id) : nullptr;
   if (outcome != nullptr) {
     ++this->counts.replayed;
     context.out.push_back(ReplayOutcome{claim.request, *outcome});
     this->Remove(claim.request);
     return;
   }
-  this->Answer(context, claim, ErrorCode::kIdempotencyInProgress,
+  this->Refuse(context, claim, ErrorCode::kIdempotencyInProgress,
                Outcome::kUnknown, "a request with this key is in progress");
 }
 
-const StoredOutcome* LogShard::OutcomeOnItsWay(const ClaimId& id) const {
+const StoredOutcome* LogShard::FindUnconfirmedOutcome(const ClaimId& id) const {
   const auto find_in = [&id](const auto& queued) -> const StoredOutcome* {
     for (const QueuedRecord& record : queued) {
       const auto* kept = std::get_if<OutcomeRecord>(&record.record);
@@ -183,33 +185,34 @@
   return outcome;
 }
 
-LogShard::Need LogShard::DecideByEntry(LogContext& context, ClaimEntry& claim,
-                                       const KeyEntry& entry) {
+LogShard::Requirement LogShard::DecideByEntry(LogContext& context,
+                                              ClaimEntry& claim,
+                                              const KeyEntry& entry) {
   const bool pending = entry.state == KeyState::kPending;
   if (pending && !claim.tail_confirmed) {
-    return Need::kTail;  // the holder may be withdrawn by now
+    return Requirement::kTailRead;  // the holder may be withdrawn by now
   }
   if (entry.body_digest != claim.body_digest) {
-    this->Answer(context, claim, ErrorCode::kIdempotencyKeyReused,
+    this->Refuse(context, claim, ErrorCode::kIdempotencyKeyReused,
                  Outcome::kNotRun, "the key belongs to another request");
-    return Need::kNothing;
+    return Requirement::kNone;
   }
   if (!pending) {
     ++this->counts.replayed;
     context.out.emplace_back(ReplayOutcome{claim.request, entry.outcome});
     this->Remove(claim.request);
-    return Need::kNothing;
+    return Requirement::kNone;
   }
-  this->Answer(context, claim, ErrorCode::kIdempotencyOutcomeUnknown,
+  this->Refuse(context, claim, ErrorCode::kIdempotencyOutcomeUnknown,
                Outcome::kUnknown,
                "the key was dispatched and no outcome is kept");
-  return Need::kNothing;
+  return Requirement::kNone;
 }
 
 void LogShard::Grant(LogContext& context, ClaimEntry& claim) {
   this->waiting.erase(claim.request);
-  this->live[claim.key] = claim.request;
-  if (!claim.answered && context.now >= claim.deadline) {
+  this->active_claims[claim.key] = claim.request;
+  if (!claim.cancelled && context.now >= claim.deadline) {
     ++this->counts.refused;
     context.out.emplace_back(
         RefuseClaim{claim.request,
@@ -217,9 +220,9 @@
                      Outcome::kNotRun,
                      "the deadline was reached before the request was sent",
                      {}}});
-    claim.answered = true;
+    claim.cancelled = true;
   }
-  if (claim.answered) {
+  if (claim.cancelled) {
     this->Close(context, claim);
     return;
   }
@@ -230,33 +233,32 @@
 
 void LogShard::Close(LogContext& context, ClaimEntry& claim) {
   claim.phase = ClaimPhase::kClosing;
-  this->Queue(WithdrawRecord{claim.key, claim.id, context.unix_ms},
-              claim.request, false);
+  this->QueueRecord(WithdrawRecord{claim.key, claim.id, context.unix_ms},
+                    claim.request, false);
 }
 
-void LogShard::Answer(LogContext& context, ClaimEntry& claim, ErrorCode code,
+void LogShard::Refuse(LogContext& context, ClaimEntry& claim, ErrorCode code,
                       Outcome outcome, std::string_view detail) {
   ++this->counts.refused;
-  const bool come_back = code != ErrorCode::kIdempotencyKeyReused;
-  const Duration wait =
-      std::max(kLeastRetryAfter, this->retry_at - context.now);
+  const bool retryable = code != ErrorCode::kIdempotencyKeyReused;
+  const Duration wait = std::max(kMinRetryAfter, this->retry_at - context.now);
   context.out.emplace_back(RefuseClaim{
       claim.request,
       {code, outcome, std::string(detail),
-       come_back ? std::optional(code == ErrorCode::kIdempotencyLogUnavailable
+       retryable ? std::optional(code == ErrorCode::kIdempotencyLogUnavailable
                                      ? wait
                                      : kInProgressRetry)
                  : std::nullopt}});
   if (claim.phase == ClaimPhase::kWaiting) {
     this->Remove(claim.request);
   } else {
-    claim.answered = true;
+    claim.cancelled = true;
   }
 }
 
 void LogShard::RefuseUnavailable(LogContext& context, ClaimEntry& claim) {
   const bool first = claim.attempt == ClaimAttempt::kFirst;
-  this->Answer(context, claim, ErrorCode::kIdempotencyLogUnavailable,
+  this->Refuse(context, claim, ErrorCode::kIdempotencyLogUnavailable,
                first ? Outcome::kNotRun : Outcome::kUnknown,
                first ? "this request was not sent"
                      : "this attempt was not sent; whether an earlier one "
@@ -267,65 +269,66 @@
   const std::set<RequestId> requests = this->waiting;
   for (const RequestId request : requests) {
     ClaimEntry& claim = this->claims.at(request);
-    const Need need = this->Decide(context, claim);
-    if (need == Need::kWrite) {
+    const Requirement requirement = this->Decide(context, claim);
+    if (requirement == Requirement::kWrite) {
       this->RefuseUnavailable(context, claim);
-    } else if (need == Need::kTail) {
-      this->Answer(context, claim, ErrorCode::kIdempotencyOutcomeUnknown,
+    } else if (requirement == Requirement::kTailRead) {
+      this->Refuse(context, claim, ErrorCode::kIdempotencyOutcomeUnknown,
                    Outcome::kUnknown,
                    "the key is held and its outcome cannot be read now");
     }
   }
 }
 
-void LogShard::GiveUpLate(LogContext& context) {
-  std::vector<RequestId> late;
+void LogShard::RefuseTimedOut(LogContext& context) {
+  std::vector<RequestId> candidates;
   for (const RequestId request : this->waiting) {
-    late.push_back(request);
+    candidates.push_back(request);
   }
   if (this->write) {
-    late.insert(late.end(), this->write->claims.begin(),
-                this->write->claims.end());
+    candidates.insert(candidates.end(), this->write->claims.begin(),
+                      this->write->claims.end());
   }
-  for (const RequestId request : late) {
+  for (const RequestId request : candidates) {
     const auto found = this->claims.find(request);
     if (found == this->claims.end()) {
       continue;
     }
     ClaimEntry& claim = found->second;
-    if (!claim.answered && context.now >= claim.give_up_at) {
+    if (!claim.cancelled && context.now >= claim.times_out_at) {
       this->RefuseUnavailable(context, claim);
     }
   }
 }
 
 void LogShard::Load(LogContext& context) {
-  this->wanted = true;
-  this->Pump(context);
+  this->load_requested = true;
+  this->StartNextOperation(context);
 }
 
 void LogShard::Tick(LogContext& context) {
-  this->GiveUpLate(context);
-  this->Pump(context);
+  this->RefuseTimedOut(context);
+  this->StartNextOperation(context);
 }
 
 Instant LogShard::NextWakeup() const {
   Instant next = kNever;
   for (const RequestId request : this->waiting) {
-    next = std::min(next, this->claims.at(request).give_up_at);
+    next = std::min(next, this->claims.at(request).times_out_at);
   }
   if (this->write) {
     for (const RequestId request : this->write->claims) {
       const auto found = this->claims.find(request);
-      if (found != this->claims.end() && !found->second.answered) {
-        next = std::min(next, found->second.give_up_at);
+      if (found != this->claims.end() && !found->second.cancelled) {
+        next = std::min(next, found->second.times_out_at);
       }
     }
   }
   if (this->operation != LogOperationId{}) {
     return next;
   }
-  if (this->write || this->away || (!this->loaded && this->wanted)) {
+  if (this->write || this->unavailable ||
+      (!this->loaded && this->load_requested)) {
     next = std::min(next, this->retry_at);
   }
   const bool work =
--- a/src/idempotency/log_shard_compact.cc
+++ b/src/idempotency/log_shard_compact.cc
@@ -50,25 +50,25 @@
                this->compaction->part_bytes);
 }
 
-void LogShard::TakePartCreated(LogContext& context) {
+void LogShard::HandlePartCreated(LogContext& context) {
   Write write;
   write.segment = this->compaction->segment;
   this->write = std::move(write);
-  this->CreateAgain(context);
+  this->CreateSegment(context);
 }
 
-void LogShard::DropCompaction(LogContext& context) {
+void LogShard::AbortCompaction(LogContext& context) {
   this->Delete(context, this->compaction->part_name);
   this->compaction.reset();
 }
 
-void LogShard::StartFloor(LogContext& context) {
+void LogShard::CreateFloor(LogContext& context) {
   const std::string name = absl::StrFormat("%s%016d", this->FloorPrefix(),
                                            this->checkpoint_sequence);
   this->Create(context, Step::kCreatingFloor, name, "");
 }
 
-void LogShard::TakeFloor(LogContext& context) {
+void LogShard::HandleFloorCreated(LogContext& context) {
   const std::string own = absl::StrFormat("%s%016d", this->FloorPrefix(),
                                           this->checkpoint_sequence);
   while (!this->present.empty() &&
--- a/src/idempotency/log_shard_load.cc
+++ b/src/idempotency/log_shard_load.cc
@@ -8,17 +8,17 @@
 namespace limpetlink {
 namespace {
 
-constexpr Duration kReloadPause = std::chrono::milliseconds(20);
+constexpr Duration kReloadDelay = std::chrono::milliseconds(20);
 /// How long a view of the log's end is taken for the end. Efficiency only: a
 /// wrong guess costs a create that collides.
-constexpr Duration kFreshFor = std::chrono::seconds(1);
+constexpr Duration kViewLifetime = std::chrono::seconds(1);
 
 bool IsFailure(LogOperationStatus status) {
   return status == LogOperationStatus::kUnavailable ||
          status == LogOperationStatus::kLost;
 }
 
-std::uint64_t SequenceOf(const std::string& name) {
+std::uint64_t ParseSequence(const std::string& name) {
   const std::size_t cut = name.rfind('/');
   const absl::string_view digits =
       absl::string_view(name).substr(cut == std::string::npos ? 0 : cut + 1);
@@ -44,36 +44,37 @@
                       const std::string& bytes) {
   ++this->counts.creates;
   this->step = step;
-  this->operation = LogOperationId{context.Next()};
+  this->operation = LogOperationId{context.NextNumber()};
   context.out.emplace_back(LogCreate{this->operation, name, bytes});
 }
 
 void LogShard::Read(LogContext& context, Step step, const std::string& name) {
   ++this->counts.reads;
   this->step = step;
-  this->operation = LogOperationId{context.Next()};
+  this->operation = LogOperationId{context.NextNumber()};
   context.out.emplace_back(LogRead{this->operation, name});
 }
 
 void LogShard::List(LogContext& context, Step step, const std::string& prefix) {
   ++this->counts.lists;
   this->step = step;
-  this->operation = LogOperationId{context.Next()};
+  this->operation = LogOperationId{context.NextNumber()};
   context.out.emplace_back(LogList{this->operation, prefix});
 }
 
 void LogShard::Delete(LogContext& context, const std::string& name) {
   ++this->counts.deletes;
-  context.out.emplace_back(LogDelete{LogOperationId{context.Next()}, name});
+  context.out.emplace_back(
+      LogDelete{LogOperationId{context.NextNumber()}, name});
 }
 
-void LogShard::Pump(LogContext& context) {
+void LogShard::StartNextOperation(LogContext& context) {
   if (this->operation != LogOperationId{} || context.now < this->retry_at) {
     return;
   }
   if (this->write) {
-    if (this->step == Step::kChecking) {
-      this->List(context, Step::kChecking, this->FloorPrefix());
+    if (this->step == Step::kCheckingWrite) {
+      this->List(context, Step::kCheckingWrite, this->FloorPrefix());
     } else {
       this->Read(context, Step::kReadingBack,
                  this->SegmentName(this->write->sequence));
@@ -81,22 +82,23 @@
     return;
   }
   if (!this->loaded) {
-    if (this->wanted || !this->Idle()) {
+    if (this->load_requested || !this->Idle()) {
       this->StartLoad(context);
     }
     return;
   }
   std::vector<RequestId> writing;
-  bool tail = this->away;
+  bool tail = this->unavailable;
   const std::set<RequestId> requests = this->waiting;
   for (const RequestId request : requests) {
-    const Need need = this->Decide(context, this->claims.at(request));
-    tail = tail || need == Need::kTail;
-    if (need == Need::kWrite) {
+    const Requirement requirement =
+        this->Decide(context, this->claims.at(request));
+    tail = tail || requirement == Requirement::kTailRead;
+    if (requirement == Requirement::kWrite) {
       writing.push_back(request);
     }
   }
-  if (!this->away && context.now >= this->next_write_at) {
+  if (!this->unavailable && context.now >= this->next_write_at) {
     if (this->CompactionDue()) {
       // A checkpoint must stand on a view that is known to be genuine.
       if (this->verified_sequence == this->next_sequence) {
@@ -108,7 +110,7 @@
     }
     if (!writing.empty() || !this->records.empty()) {
       // A read costs the platform less than a create that collides.
-      if (context.now < this->fresh_until) {
+      if (context.now < this->view_fresh_until) {
         this->StartWrite(context, writing);
       } else {
         this->ReadTail(context, true);
@@ -128,55 +130,55 @@
   }
   this->operation = LogOperationId{};
   if (IsFailure(result.status)) {
-    this->Fail(context, result.status);
-    this->Pump(context);
+    this->HandleFailure(context, result.status);
+    this->StartNextOperation(context);
     return;
   }
-  this->away = false;
+  this->unavailable = false;
   this->backoff = Duration(0);
   this->retry_at = context.now;
   switch (this->step) {
     case Step::kIdle:
       break;
     case Step::kListing:
-      this->TakeNames(context, result);
+      this->HandleSegmentList(context, result);
       break;
     case Step::kReadingNewest:
-      this->TakeNewest(context, result);
+      this->HandleNewestSegment(context, result);
       break;
     case Step::kReadingCheckpoint:
-      this->TakeCheckpoint(context, result);
+      this->HandleCheckpoint(context, result);
       break;
     case Step::kReadingPart:
-      this->TakePart(context, result);
+      this->HandlePart(context, result);
       break;
     case Step::kReadingTail:
-      this->TakeTail(context, result);
+      this->HandleTail(context, result);
       break;
     case Step::kCheckingTail:
-      this->TakeTailCheck(context, result);
+      this->HandleTailCheck(context, result);
       break;
     case Step::kCreating:
-      this->TakeCreated(context, result);
+      this->HandleCreated(context, result);
       break;
     case Step::kReadingBack:
-      this->TakeReadBack(context, result);
+      this->HandleReadBack(context, result);
       break;
-    case Step::kChecking:
-      this->TakeCheck(context, result);
+    case Step::kCheckingWrite:
+      this->HandleWriteCheck(context, result);
       break;
     case Step::kCreatingPart:
-      this->TakePartCreated(context);
+      this->HandlePartCreated(context);
       break;
     case Step::kCreatingFloor:
-      this->TakeFloor(context);
+      this->HandleFloorCreated(context);
       break;
   }
-  this->Pump(context);
+  this->StartNextOperation(context);
 }
 
 void LogShard::BackOff(LogContext& context) {
-  this->away = true;
+  this->unavailable = true;
   this->backoff =
       this->backoff == Duration(0)
           ? context.options.retry_backoff
@@ -184,7 +186,7 @@
   this->retry_at = context.now + this->backoff;
 }
 
-void LogShard::Fail(LogContext& context, LogOperationStatus status) {
+void LogShard::HandleFailure(LogContext& context, LogOperationStatus status) {
   if (status == LogOperationStatus::kLost) {
     ++this->counts.lost_responses;
   }
@@ -196,7 +198,7 @@
   if (this->step == Step::kCreatingFloor) {
     this->compaction.reset();  // its checkpoint stands; nothing is deleted
   } else if (this->compaction) {
-    this->DropCompaction(context);
+    this->AbortCompaction(context);
   }
   if (!this->loaded) {
     this->Unload();
@@ -219,14 +221,14 @@
 
 void LogShard::StartLoad(LogContext& context) {
   this->Unload();
-  this->wanted = true;
+  this->load_requested = true;
   this->List(context, Step::kListing, this->SegmentPrefix());
 }
 
-void LogShard::TakeNames(LogContext& context,
-                         const LogOperationResult& result) {
+void LogShard::HandleSegmentList(LogContext& context,
+                                 const LogOperationResult& result) {
   for (const std::string& name : result.names) {
-    this->present.insert(SequenceOf(name));
+    this->present.insert(ParseSequence(name));
   }
   if (this->present.empty()) {
     this->ReadTail(context);
@@ -236,12 +238,12 @@
              this->SegmentName(*this->present.rbegin()));
 }
 
-void LogShard::TakeNewest(LogContext& context,
-                          const LogOperationResult& result) {
+void LogShard::HandleNewestSegment(LogContext& context,
+                                   const LogOperationResult& result) {
   const auto segment = DecodeSegment(result.bytes);
   if (result.status != LogOperationStatus::kFound || !segment.ok()) {
     this->Unload();  // deleted meanwhile: list again
-    this->retry_at = context.now + kReloadPause;
+    this->retry_at = context.now + kReloadDelay;
     return;
   }
   this->checkpoint_sequence = segment->is_checkpoint
@@ -255,14 +257,14 @@
              this->SegmentName(this->checkpoint_sequence));
 }
 
-void LogShard::TakeCheckpoint(LogContext& context,
-                              const LogOperationResult& result) {
+void LogShard::HandleCheckpoint(LogContext& context,
+                                const LogOperationResult& result) {
   const auto segment = DecodeSegment(result.bytes);
   const bool found = result.status == LogOperationStatus::kFound &&
                      segment.ok() && segment->is_checkpoint;
   if (!found) {
     this->Unload();
-    this->retry_at = context.now + kReloadPause;
+    this->retry_at = context.now + kReloadDelay;
     return;
   }
   this->loading = segment->checkpoint;
@@ -282,11 +284,12 @@
   this->ReadTail(context);
 }
 
-void LogShard::TakePart(LogContext& context, const LogOperationResult& result) {
+void LogShard::HandlePart(LogContext& context,
+                          const LogOperationResult& result) {
   const auto entries = DecodePart(result.bytes);
   if (result.status != LogOperationStatus::kFound || !entries.ok()) {
     this->Unload();
-    this->retry_at = context.now + kReloadPause;
+    this->retry_at = context.now + kReloadDelay;
     return;
   }
   this->table.ApplyPart(*entries);
@@ -294,8 +297,8 @@
   this->ReadNextPart(context);
 }
 
-void LogShard::SetFresh(const LogContext& context) {
-  this->fresh_until = context.now + kFreshFor;
+void LogShard::MarkViewFresh(const LogContext& context) {
+  this->view_fresh_until = context.now + kViewLifetime;
 }
 
 void LogShard::ReadTail(LogContext& context, bool for_write) {
@@ -304,11 +307,12 @@
              this->SegmentName(this->next_sequence));
 }
 
-void LogShard::TakeTail(LogContext& context, const LogOperationResult& result) {
+void LogShard::HandleTail(LogContext& context,
+                          const LogOperationResult& result) {
   if (result.status == LogOperationStatus::kFound) {
     const auto segment = DecodeSegment(result.bytes);
     if (!segment.ok()) {
-      this->Fail(context, LogOperationStatus::kUnavailable);
+      this->HandleFailure(context, LogOperationStatus::kUnavailable);
       return;
     }
     this->ApplySegment(*segment, result.bytes.size());
@@ -316,7 +320,7 @@
     this->ReadTail(context, this->tail_for_write);
     return;
   }
-  this->SetFresh(context);
+  this->MarkViewFresh(context);
   if (this->tail_for_write) {
     this->step = Step::kIdle;  // the write's own check follows
     return;
@@ -325,12 +329,12 @@
   this->List(context, Step::kCheckingTail, this->FloorPrefix());
 }
 
-void LogShard::TakeTailCheck(LogContext& context,
-                             const LogOperationResult& result) {
-  if (this->Floor(result.names) > this->verified_sequence) {
+void LogShard::HandleTailCheck(LogContext& context,
+                               const LogOperationResult& result) {
+  if (this->UpdateFloors(result.names) > this->verified_sequence) {
     ++this->counts.stale_views;
     this->Unload();
-    this->retry_at = context.now + kReloadPause;
+    this->retry_at = context.now + kReloadDelay;
     return;
   }
   this->verified_sequence = this->next_sequence;
@@ -344,11 +348,11 @@
   }
 }
 
-std::uint64_t LogShard::Floor(const std::vector<std::string>& names) {
+std::uint64_t LogShard::UpdateFloors(const std::vector<std::string>& names) {
   this->floors.insert(names.begin(), names.end());
   std::uint64_t floor = 0;
   for (const std::string& name : names) {
-    floor = std::max(floor, SequenceOf(name));
+    floor = std::max(floor, ParseSequence(name));
   }
   return floor;
 }
--- a/src/idempotency/log_shard_write.cc
+++ b/src/idempotency/log_shard_write.cc
@@ -7,15 +7,16 @@
 namespace limpetlink {
 namespace {
 
-constexpr std::size_t kIntentBytes = 200;  // about, in a segment
-constexpr std::size_t kRecordBytes = 120;  // about, without the outcome's body
+constexpr std::size_t kEstimatedIntentBytes = 200;  // about, in a segment
+constexpr std::size_t kEstimatedRecordBytes =
+    120;  // about, without the outcome's body
 
-std::size_t SizeOf(const LogRecord& record) {
+std::size_t EstimateSize(const LogRecord& record) {
   const auto* outcome = std::get_if<OutcomeRecord>(&record);
   if (outcome == nullptr) {
-    return kRecordBytes;
+    return kEstimatedRecordBytes;
   }
-  std::size_t size = kRecordBytes + outcome->outcome.body.size();
+  std::size_t size = kEstimatedRecordBytes + outcome->outcome.body.size();
   for (const StoredHeader& header : outcome->outcome.headers) {
     size += header.name.size() + header.value.size() + 4;
   }
@@ -25,25 +26,25 @@
 }  // namespace
 
 void LogShard::StartWrite(LogContext& context,
-                          const std::vector<RequestId>& wanting) {
+                          const std::vector<RequestId>& requests) {
   Write write;
   std::size_t bytes = 0;
-  const std::size_t bound = context.options.max_segment_bytes;
-  while (!this->records.empty() && bytes < bound) {
-    bytes += SizeOf(this->records.front().record);
+  const std::size_t max_bytes = context.options.max_segment_bytes;
+  while (!this->records.empty() && bytes < max_bytes) {
+    bytes += EstimateSize(this->records.front().record);
     write.segment.records.push_back(this->records.front().record);
     write.records.push_back(std::move(this->records.front()));
     this->records.pop_front();
   }
-  for (const RequestId request : wanting) {
+  for (const RequestId request : requests) {
     ClaimEntry& claim = this->claims.at(request);
-    if (bytes >= bound || this->live.count(claim.key) > 0) {
+    if (bytes >= max_bytes || this->active_claims.count(claim.key) > 0) {
       continue;
     }
-    bytes += kIntentBytes;
+    bytes += kEstimatedIntentBytes;
     claim.phase = ClaimPhase::kWriting;
     this->waiting.erase(request);
-    this->live[claim.key] = request;
+    this->active_claims[claim.key] = request;
     const KeyEntry* entry = this->table.Find(claim.key);
     write.segment.records.push_back(
         IntentRecord{claim.key, claim.id, claim.body_digest, context.unix_ms,
@@ -53,10 +54,10 @@
   write.segment.nonce = context.NextName();
   write.segment.checkpoint_sequence = this->checkpoint_sequence;
   this->write = std::move(write);
-  this->CreateAgain(context);
+  this->CreateSegment(context);
 }
 
-void LogShard::CreateAgain(LogContext& context) {
+void LogShard::CreateSegment(LogContext& context) {
   Write& write = *this->write;
   if (write.bytes.empty()) {
     write.sequence = this->next_sequence;
@@ -67,20 +68,20 @@
                write.bytes);
 }
 
-void LogShard::TakeCreated(LogContext& context,
-                           const LogOperationResult& result) {
+void LogShard::HandleCreated(LogContext& context,
+                             const LogOperationResult& result) {
   if (result.status == LogOperationStatus::kCreated) {
-    this->List(context, Step::kChecking, this->FloorPrefix());
+    this->List(context, Step::kCheckingWrite, this->FloorPrefix());
     return;
   }
   this->Read(context, Step::kReadingBack,
              this->SegmentName(this->write->sequence));
 }
 
-void LogShard::TakeReadBack(LogContext& context,
-                            const LogOperationResult& result) {
+void LogShard::HandleReadBack(LogContext& context,
+                              const LogOperationResult& result) {
   if (result.status != LogOperationStatus::kFound) {
-    this->CreateAgain(context);
+    this->CreateSegment(context);
     return;
   }
   const auto segment = DecodeSegment(result.bytes);
@@ -89,21 +90,21 @@
     return;
   }
   if (segment->nonce == this->write->segment.nonce) {
-    this->List(context, Step::kChecking, this->FloorPrefix());
+    this->List(context, Step::kCheckingWrite, this->FloorPrefix());
     return;
   }
   ++this->counts.collisions;
-  this->fresh_until = context.now;
+  this->view_fresh_until = context.now;
   this->ApplySegment(*segment, result.bytes.size());
   this->last_was_own = false;
-  this->TakeBack(context);
+  this->RollBackWrite(context);
 }
 
-void LogShard::TakeCheck(LogContext& context,
-                         const LogOperationResult& result) {
-  const std::uint64_t floor = this->Floor(result.names);
+void LogShard::HandleWriteCheck(LogContext& context,
+                                const LogOperationResult& result) {
+  const std::uint64_t floor = this->UpdateFloors(result.names);
   if (floor <= this->verified_sequence) {
-    this->Confirm(context);
+    this->ConfirmWrite(context);
     return;
   }
   // Numbers that the view was made from had been used, deleted and perhaps
@@ -113,40 +114,40 @@
   if (floor > this->write->sequence) {
     this->Delete(context, this->SegmentName(this->write->sequence));
   }
-  this->TakeBack(context);
+  this->RollBackWrite(context);
   this->Unload();
 }
 
-void LogShard::Confirm(LogContext& context) {
+void LogShard::ConfirmWrite(LogContext& context) {
   Write write = *std::move(this->write);
   this->write.reset();
   this->step = Step::kIdle;
   this->ApplySegment(write.segment, write.bytes.size());
   this->verified_sequence = this->next_sequence;
   this->last_was_own = true;
-  this->SetFresh(context);
+  this->MarkViewFresh(context);
   ++this->counts.segments;
   this->counts.records += write.segment.records.size();
   for (const RequestId request : write.claims) {
     ClaimEntry& claim = this->claims.at(request);
     claim.phase = ClaimPhase::kWaiting;
-    this->live.erase(claim.key);
+    this->active_claims.erase(claim.key);
     this->waiting.insert(request);
     this->Decide(context, claim);
   }
   for (const QueuedRecord& queued : write.records) {
     this->Remove(queued.request);
-    if (queued.reported) {
+    if (queued.notify) {
       context.out.emplace_back(OutcomeRecorded{queued.request});
     }
   }
   if (write.segment.is_checkpoint) {
     ++this->counts.checkpoints;
-    this->StartFloor(context);
+    this->CreateFloor(context);
   }
 }
 
-void LogShard::TakeBack(LogContext& context) {
+void LogShard::RollBackWrite(LogContext& context) {
   Write write = *std::move(this->write);
   this->write.reset();
   this->step = Step::kIdle;
@@ -154,14 +155,14 @@
   for (const RequestId request : write.claims) {
     ClaimEntry& claim = this->claims.at(request);
     claim.phase = ClaimPhase::kWaiting;
-    this->live.erase(claim.key);
+    this->active_claims.erase(claim.key);
     this->waiting.insert(request);
   }
   this->records.insert(this->records.begin(),
                        std::make_move_iterator(write.records.begin()),
                        std::make_move_iterator(write.records.end()));
   if (write.segment.is_checkpoint) {
-    this->DropCompaction(context);
+    this->AbortCompaction(context);
   }
 }
 
@@ -175,7 +176,7 @@
   this->BackOff(context);
   const bool never_sent = this->step == Step::kCreating && !write.uncertain;
   if (never_sent) {
-    this->TakeBack(context);
+    this->RollBackWrite(context);
     this->RefuseWaiting(context);
     return;
   }
@@ -186,7 +187,7 @@
 void LogShard::RefuseWriting(LogContext& context) {
   for (const RequestId request : this->write->claims) {
     ClaimEntry& claim = this->claims.at(request);
-    if (!claim.answered) {
+    if (!claim.cancelled) {
       this->RefuseUnavailable(context, claim);
     }
   }
--- a/src/idempotency/segment.cc
+++ b/src/idempotency/segment.cc
@@ -25,7 +25,7 @@
           {"k", outcome.body_stored}};
 }
 
-StoredOutcome OutcomeFrom(const Json& json) {
+StoredOutcome ParseOutcome(const Json& json) {
   StoredOutcome outcome;
   outcome.status = json.at("s").get<int>();
   for (const Json& header : json.at("h")) {
@@ -62,7 +62,7 @@
   }
 };
 
-std::optional<LogRecord> RecordFrom(const Json& json) {
+std::optional<LogRecord> ParseRecord(const Json& json) {
   const auto kind = json.at("t").get<std::string>();
   const KeyDigest key{json.at("k").get<std::string>()};
   const ClaimId claim{json.at("c").get<std::string>()};
@@ -72,7 +72,7 @@
                         ClaimId{json.at("r").get<std::string>()}};
   }
   if (kind == "o") {
-    return OutcomeRecord{key, claim, at_ms, OutcomeFrom(json.at("o"))};
+    return OutcomeRecord{key, claim, at_ms, ParseOutcome(json.at("o"))};
   }
   if (kind == "w") {
     return WithdrawRecord{key, claim, at_ms};
@@ -88,7 +88,7 @@
   return {{"parts", std::move(parts)}, {"cutoff", checkpoint.cutoff_ms}};
 }
 
-Checkpoint CheckpointFrom(const Json& json) {
+Checkpoint ParseCheckpoint(const Json& json) {
   Checkpoint checkpoint;
   for (const Json& part : json.at("parts")) {
     checkpoint.parts.push_back({part.at(0).get<std::string>(),
@@ -105,27 +105,27 @@
   return bytes;
 }
 
-absl::Status Unreadable() {
+absl::Status UnreadableObject() {
   return MakeStatus(ErrorCode::kPlatformUnavailable,
                     "an object of the idempotency log cannot be read");
 }
 
 /// Reads a value out of CBOR; the library reports faults by exceptions, which
 /// end here.
-template <typename Value, typename Read>
-absl::StatusOr<Value> FromCbor(std::string_view bytes, Read read) {
+template <typename Value, typename Parse>
+absl::StatusOr<Value> FromCbor(std::string_view bytes, Parse parse) {
   try {
     const Json json = Json::from_cbor(bytes.begin(), bytes.end());
     if (json.at("v").get<int>() != kFormatVersion) {
-      return Unreadable();
+      return UnreadableObject();
     }
-    return read(json);
+    return parse(json);
   } catch (const Json::exception&) {
-    return Unreadable();
+    return UnreadableObject();
   }
 }
 
-std::optional<KeyedEntry> EntryFrom(const Json& json) {
+std::optional<KeyedEntry> ParseEntry(const Json& json) {
   KeyedEntry keyed;
   keyed.key = KeyDigest{json.at("k").get<std::string>()};
   keyed.entry.claim = ClaimId{json.at("c").get<std::string>()};
@@ -137,7 +137,7 @@
   }
   keyed.entry.state = *state;
   if (keyed.entry.state == KeyState::kDone) {
-    keyed.entry.outcome = OutcomeFrom(json.at("o"));
+    keyed.entry.outcome = ParseOutcome(json.at("o"));
   }
   return keyed;
 }
@@ -172,15 +172,15 @@
     segment.nonce = json.at("n").get<std::string>();
     segment.checkpoint_sequence = json.at("p").get<std::uint64_t>();
     for (const Json& record : json.at("r")) {
-      std::optional<LogRecord> read = RecordFrom(record);
-      if (!read) {
-        return absl::StatusOr<Segment>(Unreadable());
+      std::optional<LogRecord> parsed = ParseRecord(record);
+      if (!parsed) {
+        return absl::StatusOr<Segment>(UnreadableObject());
       }
-      segment.records.push_back(*std::move(read));
+      segment.records.push_back(*std::move(parsed));
     }
     segment.is_checkpoint = json.contains("checkpoint");
     if (segment.is_checkpoint) {
-      segment.checkpoint = CheckpointFrom(json.at("checkpoint"));
+      segment.checkpoint = ParseCheckpoint(json.at("checkpoint"));
     }
     return result;
   });
@@ -207,11 +207,11 @@
   return FromCbor<std::vector<KeyedEntry>>(bytes, [](const Json& json) {
     Result entries = std::vector<KeyedEntry>();
     for (const Json& entry : json.at("e")) {
-      std::optional<KeyedEntry> read = EntryFrom(entry);
-      if (!read) {
-        return Result(Unreadable());
+      std::optional<KeyedEntry> parsed = ParseEntry(entry);
+      if (!parsed) {
+        return Result(UnreadableObject());
       }
-      entries->push_back(*std::move(read));
+      entries->push_back(*std::move(parsed));
     }
     return entries;
   });
--- a/src/idempotency/tests/idempotency_log_test.cc
+++ b/src/idempotency/tests/idempotency_log_test.cc
@@ -11,22 +11,23 @@
 
 constexpr std::int64_t kUnixMs = 1800000000000;
 
-/// One writer against an object API that answers at once, unless told not to.
+/// One writer against an object API that answers at once, unless actions not
+/// to.
 struct LogFixture {
   std::map<std::string, std::string> objects;
   Instant now{};
   LogOperationStatus failure = LogOperationStatus::kCreated;  // none
   bool effect_despite_failure = false;
-  std::vector<LogAction> told;
+  std::vector<LogAction> actions;
   std::unique_ptr<IdempotencyLog> log;
-  int starts = 0;
+  int incarnations = 0;
   std::uint64_t next_request = 0;
 
   LogFixture() { this->Restart(); }
 
   void Restart() {
     LogOptions options;
-    options.writer = "w" + std::to_string(++this->starts);
+    options.writer = "w" + std::to_string(++this->incarnations);
     options.shards = 1;
     options.segments_per_checkpoint = 4;
     options.sealed_part_bytes = 2000;
@@ -38,36 +39,36 @@
 
   void Step(const LogMessage& message) {
     for (const LogAction& action : this->log->Step(this->now, message)) {
-      if (const auto result = this->Operate(action)) {
+      if (const auto result = this->Execute(action)) {
         this->Step(*result);
       } else {
-        this->told.push_back(action);
+        this->actions.push_back(action);
       }
     }
   }
 
-  std::optional<LogOperationResult> Operate(const LogAction& action) {
+  std::optional<LogOperationResult> Execute(const LogAction& action) {
     const bool fails = this->failure != LogOperationStatus::kCreated;
     if (const auto* create = std::get_if<LogCreate>(&action)) {
       const bool effect = !fails || this->effect_despite_failure;
-      const bool made =
+      const bool created =
           effect && this->objects.emplace(create->name, create->bytes).second;
       const auto end =
-          made ? LogOperationStatus::kCreated : LogOperationStatus::kExists;
-      const auto told_end = fails ? this->failure : end;
+          created ? LogOperationStatus::kCreated : LogOperationStatus::kExists;
+      const auto reported_status = fails ? this->failure : end;
       if (this->effect_despite_failure) {
         this->failure = LogOperationStatus::kCreated;  // only this once
       }
-      return LogOperationResult{create->operation, told_end, "", {}};
+      return LogOperationResult{create->operation, reported_status, "", {}};
     }
     if (const auto* read = std::get_if<LogRead>(&action)) {
       const auto found = this->objects.find(read->name);
-      const bool there = found != this->objects.end();
-      const auto end =
-          there ? LogOperationStatus::kFound : LogOperationStatus::kAbsent;
+      const bool found_object = found != this->objects.end();
+      const auto end = found_object ? LogOperationStatus::kFound
+                                    : LogOperationStatus::kAbsent;
       return LogOperationResult{read->operation,
                                 fails ? this->failure : end,
-                                there ? found->second : "",
+                                found_object ? found->second : "",
                                 {}};
     }
     if (const auto* list = std::get_if<LogList>(&action)) {
@@ -96,11 +97,11 @@
     const RequestId request{++this->next_request};
     this->Step(
         ClaimKey{request, {"swan"}, key, body, this->now + deadline, attempt});
-    this->Pass(milliseconds(200));
+    this->AdvanceTime(milliseconds(200));
     return request;
   }
 
-  void Pass(Duration time) {
+  void AdvanceTime(Duration time) {
     const Instant end = this->now + time;
     while (this->log->NextWakeup() <= end) {
       this->now = std::max(this->now, this->log->NextWakeup());
@@ -109,18 +110,18 @@
     this->now = end;
   }
 
-  void Finish(RequestId request, const std::string& body) {
+  void Complete(RequestId request, const std::string& body) {
     StoredOutcome outcome;
     outcome.status = 201;
     outcome.headers = {{"Content-Type", "text/plain"}};
     outcome.body = body;
     this->Step(RecordOutcome{request, outcome});
-    this->Pass(milliseconds(200));
+    this->AdvanceTime(milliseconds(200));
   }
 
   template <typename T>
-  const T* Told(RequestId request) const {
-    for (const LogAction& action : this->told) {
+  const T* FindAction(RequestId request) const {
+    for (const LogAction& action : this->actions) {
       const T* found = std::get_if<T>(&action);
       if (found != nullptr && found->request == request) {
         return found;
@@ -129,8 +130,8 @@
     return nullptr;
   }
 
-  ErrorCode RefusedWith(RequestId request) const {
-    const auto* refusal = this->Told<RefuseClaim>(request);
+  ErrorCode RefusalCode(RequestId request) const {
+    const auto* refusal = this->FindAction<RefuseClaim>(request);
     REQUIRE(refusal != nullptr);
     return refusal->problem.code;
   }
@@ -138,54 +139,57 @@
 
 TEST_CASE_METHOD(LogFixture, "key, outcome kept, is replayed by any host") {
   const RequestId first = this->Claim("k");
-  REQUIRE(this->Told<DispatchClaim>(first) != nullptr);
-  this->Finish(first, "dosed\xFF");
-  REQUIRE(this->Told<OutcomeRecorded>(first) != nullptr);
+  REQUIRE(this->FindAction<DispatchClaim>(first) != nullptr);
+  this->Complete(first, "dosed\xFF");
+  REQUIRE(this->FindAction<OutcomeRecorded>(first) != nullptr);
   CHECK(this->log->Idle());
   SECTION("same start") {}
   SECTION("another start") { this->Restart(); }
   const RequestId second = this->Claim("k");
-  const auto* replay = this->Told<ReplayOutcome>(second);
+  const auto* replay = this->FindAction<ReplayOutcome>(second);
   REQUIRE(replay != nullptr);
   CHECK(replay->outcome.status == 201);
   CHECK(replay->outcome.body == "dosed\xFF");
   REQUIRE(replay->outcome.headers.size() == 1);
   CHECK(replay->outcome.headers[0].name == "Content-Type");
-  CHECK(this->Told<DispatchClaim>(second) == nullptr);
+  CHECK(this->FindAction<DispatchClaim>(second) == nullptr);
 }
 
 TEST_CASE_METHOD(LogFixture, "key, in use or used otherwise, is refused") {
   const RequestId first = this->Claim("k");
   SECTION("in progress here") {
-    CHECK(this->RefusedWith(this->Claim("k")) ==
+    CHECK(this->RefusalCode(this->Claim("k")) ==
           ErrorCode::kIdempotencyInProgress);
   }
   SECTION("another body") {
     const RequestId other = this->Claim("k", "other");
-    CHECK(this->RefusedWith(other) == ErrorCode::kIdempotencyKeyReused);
-    CHECK(this->Told<RefuseClaim>(other)->problem.outcome == Outcome::kNotRun);
+    CHECK(this->RefusalCode(other) == ErrorCode::kIdempotencyKeyReused);
+    CHECK(this->FindAction<RefuseClaim>(other)->problem.outcome ==
+          Outcome::kNotRun);
   }
   SECTION("intent of a host that is gone") {
     this->Restart();
     const RequestId again = this->Claim("k");
-    CHECK(this->RefusedWith(again) == ErrorCode::kIdempotencyOutcomeUnknown);
-    CHECK(this->Told<RefuseClaim>(again)->problem.outcome == Outcome::kUnknown);
+    CHECK(this->RefusalCode(again) == ErrorCode::kIdempotencyOutcomeUnknown);
+    CHECK(this->FindAction<RefuseClaim>(again)->problem.outcome ==
+          Outcome::kUnknown);
   }
   SECTION("outcome nobody knows") {
     this->Step(RecordUnknown{first});
-    CHECK(this->RefusedWith(this->Claim("k")) ==
+    CHECK(this->RefusalCode(this->Claim("k")) ==
           ErrorCode::kIdempotencyOutcomeUnknown);
   }
   SECTION("certainly not run, is free again") {
     this->Step(RecordNotRun{first});
-    this->Pass(seconds(1));
-    CHECK(this->Told<DispatchClaim>(this->Claim("k", "other")) != nullptr);
+    this->AdvanceTime(seconds(1));
+    CHECK(this->FindAction<DispatchClaim>(this->Claim("k", "other")) !=
+          nullptr);
   }
   SECTION("another organisation's key, is another key") {
     const RequestId other{++this->next_request};
     this->Step(ClaimKey{other, {"syrtos"}, "k", "b", this->now + seconds(9)});
-    this->Pass(seconds(1));
-    CHECK(this->Told<DispatchClaim>(other) != nullptr);
+    this->AdvanceTime(seconds(1));
+    CHECK(this->FindAction<DispatchClaim>(other) != nullptr);
   }
 }
 
@@ -196,15 +200,16 @@
   const RequestId first = this->Claim("a", "b", ClaimAttempt::kFirst);
   const RequestId again = this->Claim("c");
   CHECK(this->now - start <= milliseconds(400));
-  CHECK(this->RefusedWith(first) == ErrorCode::kIdempotencyLogUnavailable);
-  const Problem& problem = this->Told<RefuseClaim>(first)->problem;
+  CHECK(this->RefusalCode(first) == ErrorCode::kIdempotencyLogUnavailable);
+  const Problem& problem = this->FindAction<RefuseClaim>(first)->problem;
   CHECK(problem.outcome == Outcome::kNotRun);
   CHECK(problem.retry_after.has_value());
-  CHECK(this->Told<RefuseClaim>(again)->problem.outcome == Outcome::kUnknown);
+  CHECK(this->FindAction<RefuseClaim>(again)->problem.outcome ==
+        Outcome::kUnknown);
   this->failure = LogOperationStatus::kCreated;
-  this->Pass(seconds(20));
-  CHECK(this->Told<DispatchClaim>(this->Claim("a")) != nullptr);
-  CHECK(this->Told<DispatchClaim>(first) == nullptr);
+  this->AdvanceTime(seconds(20));
+  CHECK(this->FindAction<DispatchClaim>(this->Claim("a")) != nullptr);
+  CHECK(this->FindAction<DispatchClaim>(first) == nullptr);
 }
 
 TEST_CASE_METHOD(LogFixture,
@@ -213,7 +218,7 @@
   this->failure = LogOperationStatus::kLost;
   this->effect_despite_failure = true;
   const RequestId request = this->Claim("k");
-  CHECK(this->Told<DispatchClaim>(request) != nullptr);
+  CHECK(this->FindAction<DispatchClaim>(request) != nullptr);
   CHECK(this->log->Counts().lost_responses == 1);
 }
 
@@ -221,34 +226,34 @@
   this->Claim("before");
   this->failure = LogOperationStatus::kLost;
   const RequestId request = this->Claim("k", "b", ClaimAttempt::kFirst);
-  CHECK(this->RefusedWith(request) == ErrorCode::kIdempotencyLogUnavailable);
+  CHECK(this->RefusalCode(request) == ErrorCode::kIdempotencyLogUnavailable);
   this->failure = LogOperationStatus::kCreated;
-  this->Pass(seconds(20));
+  this->AdvanceTime(seconds(20));
   CHECK(this->log->Idle() == false);  // "before" is still in progress
-  CHECK(this->Told<DispatchClaim>(request) == nullptr);
-  CHECK(this->Told<DispatchClaim>(this->Claim("k")) != nullptr);
+  CHECK(this->FindAction<DispatchClaim>(request) == nullptr);
+  CHECK(this->FindAction<DispatchClaim>(this->Claim("k")) != nullptr);
 }
 
 TEST_CASE_METHOD(LogFixture, "deadline, reached before the write, not sent") {
   const RequestId late =
       this->Claim("k", "b", ClaimAttempt::kFirst, Duration(0));
-  CHECK(this->RefusedWith(late) == ErrorCode::kRequestDeadlineReached);
-  this->Pass(seconds(1));
-  CHECK(this->Told<DispatchClaim>(this->Claim("k")) != nullptr);
+  CHECK(this->RefusalCode(late) == ErrorCode::kRequestDeadlineReached);
+  this->AdvanceTime(seconds(1));
+  CHECK(this->FindAction<DispatchClaim>(this->Claim("k")) != nullptr);
 }
 
 TEST_CASE_METHOD(LogFixture, "key, kept longer than promised, is free again") {
   const RequestId first = this->Claim("k");
-  this->Finish(first, "x");
+  this->Complete(first, "x");
   this->now += hours(23);
-  CHECK(this->Told<ReplayOutcome>(this->Claim("k")) != nullptr);
+  CHECK(this->FindAction<ReplayOutcome>(this->Claim("k")) != nullptr);
   this->now += hours(2);
-  CHECK(this->Told<DispatchClaim>(this->Claim("k", "other")) != nullptr);
+  CHECK(this->FindAction<DispatchClaim>(this->Claim("k", "other")) != nullptr);
 }
 
 TEST_CASE_METHOD(LogFixture, "checkpoints, many orders, bound what is read") {
   for (int i = 0; i < 40; ++i) {
-    this->Finish(this->Claim("k" + std::to_string(i)), "x");
+    this->Complete(this->Claim("k" + std::to_string(i)), "x");
   }
   std::size_t segments = 0;
   for (const auto& [name, bytes] : this->objects) {
@@ -259,13 +264,14 @@
   CHECK(segments <= 6);
   this->Restart();
   for (int i = 0; i < 40; ++i) {
-    CHECK(this->Told<ReplayOutcome>(this->Claim("k" + std::to_string(i))));
+    CHECK(
+        this->FindAction<ReplayOutcome>(this->Claim("k" + std::to_string(i))));
   }
   SECTION("expired, are dropped with their parts") {
     this->now += hours(26);
     this->Restart();
     for (int i = 0; i < 4; ++i) {
-      this->Finish(this->Claim("new" + std::to_string(i)), "x");
+      this->Complete(this->Claim("new" + std::to_string(i)), "x");
     }
     CHECK(this->log->Shard(0).Keys().Size() <= 4);
     CHECK(this->objects.size() < 10);
@@ -274,10 +280,10 @@
 
 TEST_CASE_METHOD(LogFixture, "outcome, body beyond the bound, keeps the rest") {
   const RequestId first = this->Claim("k");
-  this->Finish(first, std::string(9000, 'x'));
+  this->Complete(first, std::string(9000, 'x'));
   this->Restart();
   const RequestId again = this->Claim("k");
-  const auto* replay = this->Told<ReplayOutcome>(again);
+  const auto* replay = this->FindAction<ReplayOutcome>(again);
   REQUIRE(replay != nullptr);
   CHECK(replay->outcome.status == 201);
   CHECK_FALSE(replay->outcome.body_stored);
--- a/src/idempotency/tests/interleavings_test.cc
+++ b/src/idempotency/tests/interleavings_test.cc
@@ -7,31 +7,31 @@
 
 constexpr std::uint64_t kSeeds = 2500;  // of each of four cases
 
-std::string Join(const std::vector<std::string>& faults) {
+std::string Join(const std::vector<std::string>& violations) {
   std::string text;
-  for (const std::string& fault : faults) {
-    text += fault + "\n";
+  for (const std::string& violation : violations) {
+    text += violation + "\n";
   }
   return text;
 }
 
 /// Plays a quarter of the seeds; four cases, so that they can run side by side.
-void PlayQuarter(std::uint64_t quarter) {
+void RunQuarter(std::uint64_t quarter) {
   LogCounts sum;
   const std::uint64_t first = quarter * kSeeds + 1;
   for (std::uint64_t seed = first; seed < first + kSeeds; ++seed) {
-    WorldOptions options;
+    SimulationOptions options;
     options.seed = seed;
-    LogWorld world(options);
-    world.Run();
-    const auto faults = world.history.Check(true);
-    INFO("seed " << seed << "\n" << Join(faults));
-    REQUIRE(faults.empty());
-    sum.checkpoints += world.counts.checkpoints;
-    sum.collisions += world.counts.collisions;
-    sum.stale_views += world.counts.stale_views;
-    sum.dispatched += world.counts.dispatched;
-    sum.replayed += world.counts.replayed;
+    LogSimulation simulation(options);
+    simulation.Run();
+    const auto violations = simulation.history.Check(true);
+    INFO("seed " << seed << "\n" << Join(violations));
+    REQUIRE(violations.empty());
+    sum.checkpoints += simulation.counts.checkpoints;
+    sum.collisions += simulation.counts.collisions;
+    sum.stale_views += simulation.counts.stale_views;
+    sum.dispatched += simulation.counts.dispatched;
+    sum.replayed += simulation.counts.replayed;
   }
   // The runs did meet what they are there for.
   CHECK(sum.checkpoints > kSeeds / 10);
@@ -42,37 +42,37 @@
 }
 
 TEST_CASE("idempotency log, seeds 1 to 2500, keeps every promise") {
-  PlayQuarter(0);
+  RunQuarter(0);
 }
 
 TEST_CASE("idempotency log, seeds 2501 to 5000, keeps every promise") {
-  PlayQuarter(1);
+  RunQuarter(1);
 }
 
 TEST_CASE("idempotency log, seeds 5001 to 7500, keeps every promise") {
-  PlayQuarter(2);
+  RunQuarter(2);
 }
 
 TEST_CASE("idempotency log, seeds 7501 to 10000, keeps every promise") {
-  PlayQuarter(3);
+  RunQuarter(3);
 }
 
 /// Puts the fault in at each step of one scenario; returns the steps tried.
-std::uint64_t TryEveryStep(std::uint64_t seed, StepFault fault) {
+std::uint64_t InjectAtEveryStep(std::uint64_t seed, InjectedFault fault) {
   bool more = true;
   std::uint64_t step = 0;
   while (more) {
     ++step;
-    const WorldOptions options{
-        seed, BrokenRule::kNone, 2, 1, 6, 0, 0, 0, 0, 0, 0, fault, step};
-    LogWorld world(options);
-    world.Run();
-    const auto faults = world.history.Check(true);
+    const SimulationOptions options{
+        seed, DeliberateDefect::kNone, 2, 1, 6, 0, 0, 0, 0, 0, 0, fault, step};
+    LogSimulation simulation(options);
+    simulation.Run();
+    const auto violations = simulation.history.Check(true);
     INFO("seed " << seed << ", fault " << static_cast<int>(fault) << " at step "
                  << step << "\n"
-                 << Join(faults));
-    REQUIRE(faults.empty());
-    more = step < world.events;
+                 << Join(violations));
+    REQUIRE(violations.empty());
+    more = step < simulation.events;
   }
   return step;
 }
@@ -80,23 +80,23 @@
 TEST_CASE("idempotency log, one fault at every step, keeps every promise") {
   std::uint64_t steps = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    for (const StepFault fault :
-         {StepFault::kCrash, StepFault::kFreeze, StepFault::kOutage,
-          StepFault::kLostAfter, StepFault::kLostBefore}) {
-      steps += TryEveryStep(seed, fault);
+    for (const InjectedFault fault :
+         {InjectedFault::kCrash, InjectedFault::kFreeze, InjectedFault::kOutage,
+          InjectedFault::kLostAfter, InjectedFault::kLostBefore}) {
+      steps += InjectAtEveryStep(seed, fault);
     }
   }
   CHECK(steps > 1000);
 }
 
-std::uint64_t FirstSeedCaught(BrokenRule broken, std::uint64_t seeds) {
+std::uint64_t FirstFailingSeed(DeliberateDefect defect, std::uint64_t seeds) {
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    WorldOptions options;
+    SimulationOptions options;
     options.seed = seed;
-    options.broken = broken;
-    LogWorld world(options);
-    world.Run();
-    if (!world.history.Check(true).empty()) {
+    options.defect = defect;
+    LogSimulation simulation(options);
+    simulation.Run();
+    if (!simulation.history.Check(true).empty()) {
       return seed;
     }
   }
@@ -104,13 +104,13 @@
 }
 
 TEST_CASE("history checker, one rule broken on purpose, catches it") {
-  CHECK(FirstSeedCaught(BrokenRule::kRetryAfterSend, 50) > 0);
-  CHECK(FirstSeedCaught(BrokenRule::kDispatchBeforeDurable, 50) > 0);
-  CHECK(FirstSeedCaught(BrokenRule::kEarlyNotRun, 50) > 0);
-  CHECK(FirstSeedCaught(BrokenRule::kLostIsCreated, 2000) > 0);
-  CHECK(FirstSeedCaught(BrokenRule::kExistsIsCreated, 2000) > 0);
-  CHECK(FirstSeedCaught(BrokenRule::kClaimsFirst, 2000) > 0);
-  CHECK(FirstSeedCaught(BrokenRule::kNoFloorCheck, 4000) > 0);
+  CHECK(FirstFailingSeed(DeliberateDefect::kRetryAfterSend, 50) > 0);
+  CHECK(FirstFailingSeed(DeliberateDefect::kDispatchBeforeDurable, 50) > 0);
+  CHECK(FirstFailingSeed(DeliberateDefect::kEarlyNotRun, 50) > 0);
+  CHECK(FirstFailingSeed(DeliberateDefect::kLostAsCreated, 2000) > 0);
+  CHECK(FirstFailingSeed(DeliberateDefect::kExistsAsCreated, 2000) > 0);
+  CHECK(FirstFailingSeed(DeliberateDefect::kAlwaysFirstAttempt, 2000) > 0);
+  CHECK(FirstFailingSeed(DeliberateDefect::kNoFloorCheck, 4000) > 0);
 }
 
 }  // namespace
--- a/src/idempotency/tests/log_world.cc
+++ b/src/idempotency/tests/log_world.cc
@@ -6,63 +6,65 @@
 namespace {
 
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
-constexpr Duration kTickEvery = std::chrono::milliseconds(50);
-constexpr Duration kRunFor = std::chrono::seconds(20);
-constexpr Duration kSettleFor = std::chrono::seconds(60);
+constexpr Duration kTickInterval = std::chrono::milliseconds(50);
+constexpr Duration kFaultPeriod = std::chrono::seconds(20);
+constexpr Duration kSettlePeriod = std::chrono::seconds(60);
 constexpr std::int64_t kStartUnixMs = 1800000000000;
-constexpr double kUpstreamRefuses = 0.15;
-constexpr double kUpstreamCuts = 0.2;
+constexpr double kUpstreamRefusalRate = 0.15;
+constexpr double kUpstreamCutRate = 0.2;
 
 }  // namespace
 
-LogWorld::LogWorld(WorldOptions options)
+LogSimulation::LogSimulation(SimulationOptions options)
     : options(options), random(options.seed) {
   this->hosts.resize(static_cast<std::size_t>(options.hosts));
 }
 
-bool LogWorld::Chance(double chance) {
+bool LogSimulation::Chance(double chance) {
   return this->random.Fraction() < chance;
 }
 
-Duration LogWorld::Millis(std::uint64_t low, std::uint64_t high) {
+Duration LogSimulation::RandomMillis(std::uint64_t low, std::uint64_t high) {
   return std::chrono::milliseconds(low + this->random.Below(high - low + 1));
 }
 
-void LogWorld::At(Instant when, Task task) {
+void LogSimulation::Schedule(Instant when, Task task) {
   this->tasks.emplace(std::pair(when, this->next_task++), std::move(task));
 }
 
-void LogWorld::OnHost(std::size_t host, Task task) {
+void LogSimulation::RunOnHost(std::size_t host, Task task) {
   Host& state = this->hosts[host];
   if (this->now < state.frozen_until) {
-    const int start = state.start;
-    this->At(state.frozen_until, [this, host, start, task = std::move(task)] {
-      if (this->hosts[host].start == start) {
-        this->OnHost(host, task);
-      }
-    });
+    const int incarnation = state.incarnation;
+    this->Schedule(state.frozen_until,
+                   [this, host, incarnation, task = std::move(task)] {
+                     if (this->hosts[host].incarnation == incarnation) {
+                       this->RunOnHost(host, task);
+                     }
+                   });
     return;
   }
   task();
 }
 
-void LogWorld::Run() {
+void LogSimulation::Run() {
   for (std::size_t host = 0; host < this->hosts.size(); ++host) {
     this->Restart(host);
   }
   for (int i = 0; i < this->options.attempts; ++i) {
-    this->At(this->now + this->Millis(0, 20000), [this] {
+    this->Schedule(this->now + this->RandomMillis(0, 20000), [this] {
       this->SendAttempt(this->random.Below(this->hosts.size()));
-      this->Disturb();
+      this->InjectRandomFaults();
     });
   }
-  const Instant heal = this->now + kRunFor;
-  const Instant end = heal + kSettleFor;
-  this->At(heal + kSettleFor / 2, [this] { this->SendFinal(); });
+  const Instant faults_end = this->now + kFaultPeriod;
+  const Instant end = faults_end + kSettlePeriod;
+  this->Schedule(faults_end + kSettlePeriod / 2,
+                 [this] { this->SendFinalAttempts(); });
   while (!this->tasks.empty() && this->tasks.begin()->first.first < end) {
     auto node = this->tasks.extract(this->tasks.begin());
     this->now = node.key().first;
-    this->healed = this->now >= heal;
+    this->faults_over = this->now >= faults_end;
     node.mapped()();
   }
   for (Host& host : this->hosts) {
@@ -74,16 +76,17 @@
   }
 }
 
-void LogWorld::Restart(std::size_t host) {
+void LogSimulation::Restart(std::size_t host) {
   Host& state = this->hosts[host];
   for (const auto& [request, attempt] : state.attempts) {
     this->history.attempts[attempt].host_crashed = true;
   }
   state.attempts.clear();
-  ++state.start;
+  ++state.incarnation;
   state.frozen_until = this->now;
   LogOptions log;
-  log.writer = "h" + std::to_string(host) + "." + std::to_string(state.start);
+  log.writer =
+      "h" + std::to_string(host) + "." + std::to_string(state.incarnation);
   log.shards = 1;
   log.segments_per_checkpoint = 3;
   log.sealed_part_bytes = 600;
@@ -92,60 +95,61 @@
       kStartUnixMs + this->now.time_since_epoch().count() / 1000;
   this->Step(host, SetLogClock{unix_ms});
   this->Step(host, LoadShards{});
-  this->TickLoop(host, state.start);
+  this->TickLoop(host, state.incarnation);
 }
 
-void LogWorld::TickLoop(std::size_t host, int start) {
-  if (this->hosts[host].start != start) {
+void LogSimulation::TickLoop(std::size_t host, int incarnation) {
+  if (this->hosts[host].incarnation != incarnation) {
     return;
   }
-  this->OnHost(host, [this, host] {
+  this->RunOnHost(host, [this, host] {
     if (this->hosts[host].log->NextWakeup() <= this->now) {
       this->Step(host, LogTick{});
     }
   });
-  this->At(this->now + kTickEvery,
-           [this, host, start] { this->TickLoop(host, start); });
+  this->Schedule(this->now + kTickInterval, [this, host, incarnation] {
+    this->TickLoop(host, incarnation);
+  });
 }
 
-void LogWorld::Disturb() {
+void LogSimulation::InjectRandomFaults() {
   const std::size_t host = this->random.Below(this->hosts.size());
   if (this->Chance(this->options.crash)) {
-    this->At(this->now + this->Millis(0, 60),
-             [this, host] { this->Restart(host); });
+    this->Schedule(this->now + this->RandomMillis(0, 60),
+                   [this, host] { this->Restart(host); });
   }
   if (this->Chance(this->options.freeze)) {
-    const Duration length = this->Millis(10, 9000);
-    this->At(this->now + this->Millis(0, 60), [this, host, length] {
+    const Duration length = this->RandomMillis(10, 9000);
+    this->Schedule(this->now + this->RandomMillis(0, 60), [this, host, length] {
       this->hosts[host].frozen_until = this->now + length;
     });
   }
   if (this->Chance(this->options.outage)) {
-    this->outage_until = this->now + this->Millis(100, 6000);
+    this->outage_until = this->now + this->RandomMillis(100, 6000);
   }
 }
 
-void LogWorld::PutFault() {
+void LogSimulation::InjectFault() {
   switch (this->options.fault) {
-    case StepFault::kNone:
+    case InjectedFault::kNone:
       break;
-    case StepFault::kCrash:
+    case InjectedFault::kCrash:
       this->Restart(0);
       break;
-    case StepFault::kFreeze:
+    case InjectedFault::kFreeze:
       this->hosts[0].frozen_until = this->now + std::chrono::seconds(5);
       break;
-    case StepFault::kOutage:
+    case InjectedFault::kOutage:
       this->outage_until = this->now + std::chrono::seconds(5);
       break;
-    case StepFault::kLostAfter:
-    case StepFault::kLostBefore:
+    case InjectedFault::kLostAfter:
+    case InjectedFault::kLostBefore:
       this->next_operation = this->options.fault;
       break;
   }
 }
 
-void LogWorld::SendAttempt(std::size_t host) {
+void LogSimulation::SendAttempt(std::size_t host) {
   OrderAttempt attempt;
   attempt.key = "k" + std::to_string(this->random.Below(
                           static_cast<std::uint64_t>(this->options.keys)));
@@ -153,11 +157,11 @@
   this->Send(host, std::move(attempt));
 }
 
-void LogWorld::SendFinal() {
+void LogSimulation::SendFinalAttempts() {
   this->Restart(0);
   for (std::size_t host = 0; host < this->hosts.size(); ++host) {
     OrderAttempt attempt;
-    attempt.final = true;
+    attempt.after_faults = true;
     attempt.body = "body";
     attempt.key = "fresh" + std::to_string(host);
     this->Send(host, attempt);
@@ -168,13 +172,13 @@
   }
 }
 
-void LogWorld::Send(std::size_t host, OrderAttempt attempt) {
+void LogSimulation::Send(std::size_t host, OrderAttempt attempt) {
   attempt.sent = this->now;
   bool first = true;
   for (const OrderAttempt& earlier : this->history.attempts) {
     first = first && earlier.key != attempt.key;
   }
-  if (this->options.broken == BrokenRule::kClaimsFirst) {
+  if (this->options.defect == DeliberateDefect::kAlwaysFirstAttempt) {
     first = true;
   }
   const std::size_t index = this->history.attempts.size();
@@ -186,32 +190,33 @@
   claim.organisation = {"swan"};
   claim.key = attempt.key;
   claim.body_digest = attempt.body;
-  claim.deadline = this->now + this->Millis(500, 10000);
+  claim.deadline = this->now + this->RandomMillis(500, 10000);
   claim.attempt = first ? ClaimAttempt::kFirst : ClaimAttempt::kMaybeRepeated;
-  const Instant leaves = this->now + this->Millis(1, 300);
-  this->OnHost(host, [this, host, claim] {
+  const Instant leaves = this->now + this->RandomMillis(1, 300);
+  this->RunOnHost(host, [this, host, claim] {
     this->Step(host, claim);
-    if (this->options.broken == BrokenRule::kDispatchBeforeDurable) {
+    if (this->options.defect == DeliberateDefect::kDispatchBeforeDurable) {
       this->Dispatch(host, claim.request);
     }
   });
-  if (this->options.broken == BrokenRule::kEarlyNotRun) {
-    this->At(this->now + this->Millis(1, 30), [this, index] {
-      if (this->history.attempts[index].answers == 0) {
-        this->Tell(index, ToldKind::kProblem, "",
-                   Problem{ErrorCode::kIdempotencyLogUnavailable,
-                           Outcome::kNotRun,
-                           "",
-                           {}});
+  if (this->options.defect == DeliberateDefect::kEarlyNotRun) {
+    this->Schedule(this->now + this->RandomMillis(1, 30), [this, index] {
+      if (this->history.attempts[index].responses == 0) {
+        this->Respond(index, ResponseKind::kProblem, "",
+                      Problem{ErrorCode::kIdempotencyLogUnavailable,
+                              Outcome::kNotRun,
+                              "",
+                              {}});
       }
     });
-  } else if (!attempt.final && this->Chance(0.1)) {
-    this->At(leaves, [this, host, request, index] {
-      this->OnHost(host, [this, host, request, index] {
+  } else if (!attempt.after_faults && this->Chance(0.1)) {
+    this->Schedule(leaves, [this, host, request, index] {
+      this->RunOnHost(host, [this, host, request, index] {
         Host& state = this->hosts[host];
-        const bool open = state.attempts.count(request) > 0 &&
-                          this->history.attempts[index].seen_upstream.empty();
-        if (open && this->history.attempts[index].answers == 0) {
+        const bool open =
+            state.attempts.count(request) > 0 &&
+            this->history.attempts[index].upstream_arrivals.empty();
+        if (open && this->history.attempts[index].responses == 0) {
           this->history.attempts[index].host_crashed = true;  // nobody listens
           this->Step(host, AbandonClaim{request});
         }
@@ -220,83 +225,88 @@
   }
 }
 
-void LogWorld::Step(std::size_t host, const LogMessage& message) {
+void LogSimulation::Step(std::size_t host, const LogMessage& message) {
   const bool tick = std::holds_alternative<LogTick>(message);
-  if (!tick && !this->healed &&
+  if (!tick && !this->faults_over &&
       ++this->events == this->options.fault_at_event) {
-    this->At(this->now, [this] { this->PutFault(); });
+    this->Schedule(this->now, [this] { this->InjectFault(); });
   }
   const LogActions actions = this->hosts[host].log->Step(this->now, message);
   for (const LogAction& action : actions) {
-    this->Carry(host, action);
+    this->ExecuteAction(host, action);
   }
 }
 
-void LogWorld::Reply(std::size_t host, LogOperationResult result,
-                     Duration after) {
-  const int start = this->hosts[host].start;
-  this->At(this->now + after, [this, host, start, result] {
-    if (this->hosts[host].start != start) {
+void LogSimulation::Reply(std::size_t host, LogOperationResult result,
+                          Duration after) {
+  const int incarnation = this->hosts[host].incarnation;
+  this->Schedule(this->now + after, [this, host, incarnation, result] {
+    if (this->hosts[host].incarnation != incarnation) {
       return;
     }
-    this->OnHost(host, [this, host, result] { this->Step(host, result); });
+    this->RunOnHost(host, [this, host, result] { this->Step(host, result); });
   });
 }
 
-void LogWorld::Operate(std::size_t host, LogOperationId operation,
-                       std::function<LogOperationResult()> effect,
-                       bool writes) {
-  const bool away = this->now < this->outage_until && !this->healed;
-  const bool refused = !this->healed && this->Chance(this->options.unavailable);
-  if (away || refused) {
+void LogSimulation::RunOperation(std::size_t host, LogOperationId operation,
+                                 std::function<LogOperationResult()> effect,
+                                 bool writes) {
+  const bool unavailable = this->now < this->outage_until && !this->faults_over;
+  const bool refused =
+      !this->faults_over && this->Chance(this->options.unavailable);
+  if (unavailable || refused) {
     this->Reply(host, {operation, LogOperationStatus::kUnavailable, "", {}},
-                this->Millis(1, 20));
+                this->RandomMillis(1, 20));
     return;
   }
-  const StepFault pending =
-      std::exchange(this->next_operation, StepFault::kNone);
-  const StepFault fault = this->healed ? StepFault::kNone : pending;
-  const bool lost = fault != StepFault::kNone ||
-                    (!this->healed && this->Chance(this->options.lost));
-  const bool late = !this->healed && this->Chance(this->options.late);
+  const InjectedFault pending =
+      std::exchange(this->next_operation, InjectedFault::kNone);
+  const InjectedFault fault =
+      this->faults_over ? InjectedFault::kNone : pending;
+  const bool lost = fault != InjectedFault::kNone ||
+                    (!this->faults_over && this->Chance(this->options.lost));
+  const bool late = !this->faults_over && this->Chance(this->options.late);
   const bool no_effect =
-      fault == StepFault::kLostBefore ||
-      (fault == StepFault::kNone && lost && this->Chance(0.5));
-  Duration until = this->Millis(1, 15);
+      fault == InjectedFault::kLostBefore ||
+      (fault == InjectedFault::kNone && lost && this->Chance(0.5));
+  Duration delay = this->RandomMillis(1, 15);
   if (late) {
-    until = this->Millis(1000, 15000);
+    delay = this->RandomMillis(1000, 15000);
   }
-  const bool timed_out = until > kCallTimeout;
-  const int start = this->hosts[host].start;
+  const bool timed_out = delay > kCallTimeout;
+  const int incarnation = this->hosts[host].incarnation;
   if (!no_effect && (writes || !timed_out)) {
-    this->At(this->now + until, [=, this_start = start] {
+    this->Schedule(this->now + delay, [=, started_incarnation = incarnation] {
       LogOperationResult result = effect();
       result.operation = operation;
-      const bool lie = (this->options.broken == BrokenRule::kExistsIsCreated &&
-                        result.status == LogOperationStatus::kExists);
-      if (lie) {
+      const bool report_created =
+          (this->options.defect == DeliberateDefect::kExistsAsCreated &&
+           result.status == LogOperationStatus::kExists);
+      if (report_created) {
         result.status = LogOperationStatus::kCreated;
       }
-      if (!lost && !timed_out && this->hosts[host].start == this_start) {
-        this->Reply(host, result, this->Millis(1, 15));
+      if (!lost && !timed_out &&
+          this->hosts[host].incarnation == started_incarnation) {
+        this->Reply(host, result, this->RandomMillis(1, 15));
       }
     });
   }
   if (lost || timed_out) {
-    const bool lie =
-        writes && this->options.broken == BrokenRule::kLostIsCreated;
+    const bool report_created =
+        writes && this->options.defect == DeliberateDefect::kLostAsCreated;
     this->Reply(host,
                 {operation,
-                 lie ? LogOperationStatus::kCreated : LogOperationStatus::kLost,
+                 report_created ? LogOperationStatus::kCreated
+                                : LogOperationStatus::kLost,
                  "",
                  {}},
                 kCallTimeout);
   }
 }
 
-void LogWorld::Carry(std::size_t host, const LogAction& action) {
+void LogSimulation::ExecuteAction(std::size_t host, const LogAction& action) {
   if (const auto* create = std::get_if<LogCreate>(&action)) {
-    this->Operate(
+    this->RunOperation(
         host, create->operation,
         [this, name = create->name, bytes = create->bytes] {
           LogOperationResult result;
@@ -307,7 +317,7 @@
         },
         true);
   } else if (const auto* read = std::get_if<LogRead>(&action)) {
-    this->Operate(
+    this->RunOperation(
         host, read->operation,
         [this, name = read->name] {
           LogOperationResult result;
@@ -320,9 +330,10 @@
         },
         false);
   } else if (const auto* list = std::get_if<LogList>(&action)) {
-    const bool blind = this->options.broken == BrokenRule::kNoFloorCheck &&
-                       list->prefix.rfind("log-floor/", 0) == 0;
-    this->Operate(
+    const bool blind =
+        this->options.defect == DeliberateDefect::kNoFloorCheck &&
+        list->prefix.rfind("log-floor/", 0) == 0;
+    this->RunOperation(
         host, list->operation,
         [this, prefix = list->prefix, blind] {
           LogOperationResult result;
@@ -337,7 +348,7 @@
         },
         false);
   } else if (const auto* erase = std::get_if<LogDelete>(&action)) {
-    this->Operate(
+    this->RunOperation(
         host, erase->operation,
         [this, name = erase->name] {
           this->objects.erase(name);
@@ -347,79 +358,84 @@
   } else if (const auto* dispatch = std::get_if<DispatchClaim>(&action)) {
     this->Dispatch(host, dispatch->request);
   } else if (const auto* replay = std::get_if<ReplayOutcome>(&action)) {
-    this->Tell(this->hosts[host].attempts.at(replay->request),
-               ToldKind::kReplay, replay->outcome.body, std::nullopt);
+    this->Respond(this->hosts[host].attempts.at(replay->request),
+                  ResponseKind::kReplay, replay->outcome.body, std::nullopt);
   } else if (const auto* kept = std::get_if<OutcomeRecorded>(&action)) {
-    OrderAttempt& order =
+    OrderAttempt& attempt_record =
         this->history.attempts[this->hosts[host].attempts.at(kept->request)];
-    order.recorded = order.told == ToldKind::kOutcome && order.answers > 0;
+    attempt_record.recorded =
+        attempt_record.response == ResponseKind::kOutcome &&
+        attempt_record.responses > 0;
   } else if (const auto* refusal = std::get_if<RefuseClaim>(&action)) {
-    this->Tell(this->hosts[host].attempts.at(refusal->request),
-               ToldKind::kProblem, "", refusal->problem);
+    this->Respond(this->hosts[host].attempts.at(refusal->request),
+                  ResponseKind::kProblem, "", refusal->problem);
   }
 }
 
-void LogWorld::Tell(std::size_t attempt, ToldKind kind,
-                    const std::string& outcome,
-                    const std::optional<Problem>& problem) {
-  OrderAttempt& told = this->history.attempts[attempt];
-  ++told.answers;
-  told.told = kind;
-  told.outcome_body = outcome;
-  told.problem = problem;
-  told.told_at = this->now;
+void LogSimulation::Respond(std::size_t attempt, ResponseKind kind,
+                            const std::string& outcome,
+                            const std::optional<Problem>& problem) {
+  OrderAttempt& record = this->history.attempts[attempt];
+  ++record.responses;
+  record.response = kind;
+  record.outcome_body = outcome;
+  record.problem = problem;
+  record.responded_at = this->now;
 }
 
-void LogWorld::Dispatch(std::size_t host, RequestId request) {
+void LogSimulation::Dispatch(std::size_t host, RequestId request) {
   const auto found = this->hosts[host].attempts.find(request);
   if (found == this->hosts[host].attempts.end()) {
     return;
   }
   const std::size_t attempt = found->second;
-  if (this->Chance(kUpstreamRefuses)) {
-    if (this->history.attempts[attempt].answers == 0) {
-      this->Tell(
-          attempt, ToldKind::kProblem, "",
+  if (this->Chance(kUpstreamRefusalRate)) {
+    if (this->history.attempts[attempt].responses == 0) {
+      this->Respond(
+          attempt, ResponseKind::kProblem, "",
           Problem{ErrorCode::kUpstreamUnreachable, Outcome::kNotRun, "", {}});
     }
     this->Step(host, RecordNotRun{request});
     return;
   }
-  this->Upstream(host, request, attempt);
+  this->SendUpstream(host, request, attempt);
 }
 
-void LogWorld::Upstream(std::size_t host, RequestId request,
-                        std::size_t attempt) {
-  const int start = this->hosts[host].start;
-  this->At(this->now + this->Millis(0, 20), [this, attempt] {
-    this->history.attempts[attempt].seen_upstream.push_back(this->now);
+void LogSimulation::SendUpstream(std::size_t host, RequestId request,
+                                 std::size_t attempt) {
+  const int incarnation = this->hosts[host].incarnation;
+  this->Schedule(this->now + this->RandomMillis(0, 20), [this, attempt] {
+    this->history.attempts[attempt].upstream_arrivals.push_back(this->now);
   });
-  const bool cut = this->Chance(kUpstreamCuts);
-  this->At(this->now + this->Millis(21, 800), [this, host, request, attempt,
-                                               start, cut] {
-    if (this->hosts[host].start != start) {
-      return;
-    }
-    this->OnHost(host, [this, host, request, attempt, cut] {
-      const OrderAttempt& order = this->history.attempts[attempt];
-      if (cut) {
-        if (this->options.broken == BrokenRule::kRetryAfterSend) {
-          this->Upstream(host, request, attempt);
+  const bool cut = this->Chance(kUpstreamCutRate);
+  this->Schedule(
+      this->now + this->RandomMillis(21, 800),
+      [this, host, request, attempt, incarnation, cut] {
+        if (this->hosts[host].incarnation != incarnation) {
           return;
         }
-        this->Tell(attempt, ToldKind::kProblem, "",
-                   Problem{ErrorCode::kUpstreamCut, Outcome::kUnknown, "", {}});
-        this->Step(host, RecordUnknown{request});
-        return;
-      }
-      StoredOutcome outcome;
-      outcome.status = 200;
-      outcome.body =
-          order.key + "/" + order.body + "/" + std::to_string(attempt);
-      this->Tell(attempt, ToldKind::kOutcome, outcome.body, std::nullopt);
-      this->Step(host, RecordOutcome{request, outcome});
-    });
-  });
+        this->RunOnHost(host, [this, host, request, attempt, cut] {
+          const OrderAttempt& attempt_record = this->history.attempts[attempt];
+          if (cut) {
+            if (this->options.defect == DeliberateDefect::kRetryAfterSend) {
+              this->SendUpstream(host, request, attempt);
+              return;
+            }
+            this->Respond(
+                attempt, ResponseKind::kProblem, "",
+                Problem{ErrorCode::kUpstreamCut, Outcome::kUnknown, "", {}});
+            this->Step(host, RecordUnknown{request});
+            return;
+          }
+          StoredOutcome outcome;
+          outcome.status = 200;
+          outcome.body = attempt_record.key + "/" + attempt_record.body + "/" +
+                         std::to_string(attempt);
+          this->Respond(attempt, ResponseKind::kOutcome, outcome.body,
+                        std::nullopt);
+          this->Step(host, RecordOutcome{request, outcome});
+        });
+      });
 }
 
 }  // namespace limpetlink
