--- a/src/idempotency/detail/idempotency_log.h
+++ b/src/idempotency/detail/idempotency_log.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The idempotency log as one host runs it.
+/// @brief Idempotency log of one host.
 #pragma once
 
 #include <cstdint>
@@ -12,50 +12,52 @@
 
 namespace limpetlink {
 
-/// @brief At most once for keyed requests. Any number of hosts may write the
-/// same shard at once; safety rests on create-if-absent alone.
-/// @note A request is dispatched only after its intent stands in the log at the
-/// next sequence number, which shows that the writer had read everything
-/// before it, and after the check that the number was not freed by a deletion.
+/// @brief Executes keyed requests at most once.
+/// Any number of hosts may write to the same shard concurrently; correctness
+/// depends only on the create-if-absent operation of the object API.
+/// @note A request is dispatched only after two steps. First, its intent is
+/// stored at the next sequence number, which proves that the writer had read
+/// all earlier segments. Second, a check confirms that this sequence number was
+/// not freed by a deletion.
 /// @note Example:
 /// @code
 /// IdempotencyLog log(options);
-/// Carry(log.Step(now, ClaimKey{request, organisation, key, digest,
-/// deadline})); Carry(log.Step(now, LogOperationResult{op,
-/// LogOperationStatus::kCreated}));
-/// // ... DispatchClaim{request}: send it once
-/// Carry(log.Step(now, RecordOutcome{request, outcome}));
+/// Execute(log.Step(now, ClaimKey{request, organisation, key, digest}));
+/// Execute(log.Step(now, LogOperationResult{operation, status}));
+/// // After DispatchClaim{request}, send the request once.
+/// Execute(log.Step(now, RecordOutcome{request, outcome}));
 /// @endcode
 class IdempotencyLog {
  public:
-  /// @param options writer name, shards, bounds
+  /// @param options writer name, number of shards, limits
   explicit IdempotencyLog(LogOptions options);
 
-  /// @brief Takes one message in.
-  /// @param now never earlier than at the step before
-  /// @param message what happened
-  /// @return what to do, in sequence
-  /// @note Complexity: logarithmic in the keys of the shard for a claim; a
-  /// result costs what it carries.
+  /// @brief Processes one message.
+  /// @param now current time; must not decrease between calls
+  /// @param message the event to process
+  /// @return the actions to execute, in order
+  /// @note Complexity: a claim is logarithmic in the number of keys of its
+  /// shard; an operation result is linear in its size.
   LogActions Step(Instant now, const LogMessage& message);
 
-  /// @return when LogTick is due at the latest. Linear in the shards.
+  /// @return the latest time at which LogTick is due
+  /// @note Complexity: linear in the number of shards.
   Instant NextWakeup() const;
 
-  /// @return whether no claim and no record is open: a host may stop
+  /// @return whether no claim and no record is open, so that the host may stop
   bool Idle() const;
 
-  /// @return which shard holds the key; an owner is chosen by it
+  /// @return the shard of a key; callers use it to choose the key's owner
   std::uint32_t ShardOf(const OrganisationId& organisation,
                         std::string_view key) const;
 
-  /// @return the sum over the shards
+  /// @return the counters, summed over all shards
   LogCounts Counts() const;
 
-  /// @return shards whose last operation failed
+  /// @return the number of shards whose last operation failed
   std::uint32_t UnavailableShards() const;
 
-  /// @return a shard, for reading
+  /// @return read access to a shard
   const LogShard& Shard(std::uint32_t index) const {
     return this->shards.at(index);
   }
@@ -81,7 +83,7 @@
   std::map<LogOperationId, std::uint32_t> operations;
   std::map<RequestId, std::uint32_t> requests;
   std::uint64_t counter = 0;
-  std::int64_t clock_ms = 0;  ///< wall clock at clock_at
+  std::int64_t clock_ms = 0;  ///< wall clock at `clock_at`
   Instant clock_at;
 };
 
--- a/src/idempotency/detail/key_table.h
+++ b/src/idempotency/detail/key_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What a shard's log says of its keys: a pure fold over its segments.
+/// @brief State of a shard's keys, computed by replaying its segments.
 #pragma once
 
 #include <cstdint>
@@ -11,33 +11,36 @@
 
 namespace limpetlink {
 
-/// @brief The keys of a shard. Every host that folds the same segments in the
-/// same order holds the same table.
+/// @brief The keys of one shard. Hosts that apply the same segments in the same
+/// order have identical tables.
 class KeyTable {
  public:
-  /// @brief Folds a segment in.
-  /// @note An intent takes a key that is unknown or withdrawn, or whose claim
-  /// is the one that it replaces; any other intent is ignored. Outcomes and
-  /// withdrawals count only for the claim that holds the key.
-  /// @note Complexity: logarithmic in the keys for each record; a checkpoint
-  /// is linear in the keys.
+  /// @brief Applies a segment.
+  /// @note An intent claims a key if the key is unknown or withdrawn, or if the
+  /// intent replaces the key's current claim; any other intent is ignored.
+  /// Outcomes and withdrawals are ignored unless they belong to the claim that
+  /// holds the key.
+  /// @note Complexity: logarithmic in the number of keys for each record;
+  /// linear in the number of keys for a checkpoint.
   void Apply(const Segment& segment);
 
-  /// @brief Folds a part of a checkpoint in; later entries win.
+  /// @brief Applies a part of a checkpoint; its entries replace existing ones.
   void ApplyPart(const std::vector<KeyedEntry>& entries);
-  /// @brief Ends the reading of a checkpoint's parts.
+  /// @brief Completes the load of a checkpoint after all its parts.
   void ApplyCheckpoint(const Checkpoint& checkpoint);
 
-  /// @return what the log says of the key, or nullptr
+  /// @return the entry of a key, or nullptr if the key is unknown
   const KeyEntry* Find(const KeyDigest& key) const;
 
-  /// @brief Names what the next checkpoint's last part holds: the keys of an
-  /// unsealed last part and those touched since.
+  /// @brief Returns the entries for the last part of the next checkpoint: those
+  /// of the current unsealed part and those changed since.
+  /// @param cutoff_ms entries last changed at or before this time are left out,
+  /// in Unix milliseconds
   std::vector<KeyedEntry> UnsealedEntries(std::int64_t cutoff_ms) const;
 
   /// @return the parts of the last checkpoint
   const std::vector<CheckpointPart>& Parts() const { return this->parts; }
-  /// @return keys held
+  /// @return the number of keys
   std::size_t Size() const { return this->entries.size(); }
 
  private:
@@ -47,7 +50,8 @@
   void RemoveExpired(std::int64_t cutoff_ms);
 
   std::map<KeyDigest, KeyEntry> entries;
-  std::set<KeyDigest> unsealed_keys;  ///< in no sealed part in their last state
+  /// Keys whose latest state is not in a sealed part.
+  std::set<KeyDigest> unsealed_keys;
   std::vector<CheckpointPart> parts;
 };
 
--- a/src/idempotency/detail/log_shard.h
+++ b/src/idempotency/detail/log_shard.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One shard of the idempotency log, as one writer sees it.
+/// @brief One shard of the idempotency log, as seen by one writer.
 #pragma once
 
 #include <cstdint>
@@ -18,61 +18,64 @@
 
 namespace limpetlink {
 
-/// @brief What a shard has done.
+/// @brief Counters of a shard.
 struct LogCounts {
-  std::uint64_t creates = 0;  ///< calls that write
+  std::uint64_t creates = 0;  ///< attempts to create an object
   std::uint64_t reads = 0;
   std::uint64_t lists = 0;
   std::uint64_t deletes = 0;
-  std::uint64_t segments = 0;  ///< made durable by this writer
-  std::uint64_t records = 0;   ///< in those
+  std::uint64_t segments = 0;  ///< written and confirmed by this writer
+  std::uint64_t records = 0;   ///< in those segments
   std::uint64_t collisions = 0;
   std::uint64_t lost_responses = 0;
-  std::uint64_t stale_views = 0;  ///< found by the check after a create
+  /// Views found outdated: numbers that were read had been freed by deletions.
+  std::uint64_t stale_views = 0;
   std::uint64_t checkpoints = 0;
   std::uint64_t dispatched = 0;
   std::uint64_t replayed = 0;
   std::uint64_t refused = 0;
 };
 
-/// @brief One shard. At most one operation on the object API is open at a time,
-/// deletes aside; a name once tried stays the only one tried until it is known
-/// whose it is.
+/// @brief One shard of the log.
+/// At most one operation on the object API is open at a time, not counting
+/// deletes. After a create whose result is unknown, the writer uses no other
+/// segment name until it knows who wrote the object.
 class LogShard {
  public:
-  /// @param index which shard
-  /// @param segments_per_checkpoint after how many a checkpoint is due
+  /// @param index number of the shard
+  /// @param segments_per_checkpoint number of segments after which a checkpoint
+  /// is due
   LogShard(std::uint32_t index, std::uint32_t segments_per_checkpoint);
 
-  /// @brief Takes a claim in.
+  /// @brief Adds a claim for a key.
   void Claim(LogContext& context, const ClaimKey& claim, const KeyDigest& key);
-  /// @brief Closes a claim that must not be dispatched any more.
+  /// @brief Cancels a claim that is not yet dispatched.
   void Abandon(LogContext& context, RequestId request);
-  /// @brief Keeps a dispatched claim's outcome.
+  /// @brief Queues the outcome of a dispatched claim for storage.
   void StoreOutcome(LogContext& context, RequestId request,
                     StoredOutcome outcome);
-  /// @brief Sets a dispatched claim's key free.
+  /// @brief Withdraws a dispatched claim that did not run, which frees its key.
   void Withdraw(LogContext& context, RequestId request);
-  /// @brief Lets go of a dispatched claim whose outcome nobody knows.
+  /// @brief Closes a dispatched claim whose outcome will stay unknown.
   void MarkUnknown(LogContext& context, RequestId request);
-  /// @brief Takes an operation's result in.
+  /// @brief Processes the result of an object API operation.
   void HandleResult(LogContext& context, const LogOperationResult& result);
-  /// @brief Reads the shard if it was not read.
+  /// @brief Loads the shard unless it is already loaded.
   void Load(LogContext& context);
-  /// @brief Lets time pass.
+  /// @brief Refuses claims that timed out and starts due operations.
   void Tick(LogContext& context);
 
-  /// @return when Tick is due at the latest
+  /// @return the latest time at which Tick is due
   Instant NextWakeup() const;
   /// @return whether no claim and no record is open
   bool Idle() const { return this->claims.empty() && this->records.empty(); }
-  /// @return whether the shard was read to its end
+  /// @return whether all segments of the shard were read
   bool Loaded() const { return this->loaded; }
-  /// @return whether the last operation on the object API failed
+  /// @return whether the last object API operation failed
   bool Unavailable() const { return this->unavailable; }
-  /// @return what was done so far
+  /// @return the counters
   const LogCounts& Counts() const { return this->counts; }
-  /// @return the keys as far as they were read
+  /// @return the keys of all segments read so far
   const KeyTable& Keys() const { return this->table; }
 
  private:
@@ -102,14 +105,15 @@
     Instant times_out_at;
     ClaimAttempt attempt = ClaimAttempt::kMaybeRepeated;
     ClaimPhase phase = ClaimPhase::kWaiting;
-    std::uint64_t arrival = 0;  ///< operations from here on show a fresh view
+    /// Counter value at arrival; operations with a higher number started later.
+    std::uint64_t arrival = 0;
     bool tail_confirmed = false;
-    bool cancelled = false;  ///< must not be dispatched any more
+    bool cancelled = false;  ///< must not be dispatched
   };
   struct QueuedRecord {
     LogRecord record;
     RequestId request;
-    bool notify = false;  ///< OutcomeRecorded is due
+    bool notify = false;  ///< report OutcomeRecorded once stored
   };
   struct Write {
     std::uint64_t sequence = 0;
@@ -117,7 +121,7 @@
     Segment segment;
     std::vector<RequestId> claims;
     std::vector<QueuedRecord> records;
-    bool uncertain = false;  ///< an answer was lost: it may be there
+    bool uncertain = false;  ///< a response was lost; the object may exist
   };
   struct Compaction {
     std::string part_name;
@@ -177,11 +181,11 @@
   void HandleWriteCheck(LogContext& context, const LogOperationResult& result);
   void ConfirmWrite(LogContext& context);
   void RollBackWrite(LogContext& context);
-  void FailWrite(LogContext& context, LogOperationStatus status);
+  void HandleWriteFailure(LogContext& context, LogOperationStatus status);
   void RefuseWriting(LogContext& context);
 
   // Compaction (log_shard_compact.cc).
-  bool CompactionDue() const;
+  bool IsCompactionDue() const;
   void StartCompaction(LogContext& context);
   void HandlePartCreated(LogContext& context);
   void AbortCompaction(LogContext& context);
@@ -196,27 +200,29 @@
   std::uint32_t segments_per_checkpoint;
   KeyTable table;
   bool loaded = false;
-  bool load_requested = false;  ///< a load was asked for
+  bool load_requested = false;
   bool unavailable = false;
   Step step = Step::kIdle;
-  LogOperationId operation;  ///< the open one, or 0
-  LogOperationId tail_read;  ///< the last read that found the end
+  LogOperationId operation;       ///< the open operation, or 0
+  LogOperationId last_tail_read;  ///< last read that found the end of the log
   Instant retry_at;
   Duration backoff{0};
   Instant next_write_at;
   std::uint64_t next_sequence = 1;
-  /// Everything below was shown to be genuine by a look at the floor; what was
-  /// read since counts only once the floor is seen at or below this.
+  /// All segments below this number are verified: the floor showed that their
+  /// numbers had not been freed and reused. Segments read since then are
+  /// verified once a later check finds the floor at or below this number.
   std::uint64_t verified_sequence = 1;
   std::uint64_t checkpoint_sequence = 0;
-  std::uint32_t segments_since = 0;  ///< the last checkpoint
-  std::size_t bytes_since = 0;
-  bool last_was_own = false;
-  Instant view_fresh_until;     ///< no other writer is expected until then
-  bool tail_for_write = false;  ///< the open read of the tail precedes a write
-  std::set<std::uint64_t> present;  ///< segments that may exist
-  std::set<std::string> floors;     ///< floor objects that may exist
-  Checkpoint loading;
+  std::uint32_t segments_since_checkpoint = 0;
+  std::size_t bytes_since_checkpoint = 0;
+  bool last_segment_owned = false;
+  Instant view_fresh_until;  ///< no other writer is expected before
+  /// The open read of the log's end precedes a write.
+  bool tail_for_write = false;
+  std::set<std::uint64_t> present_segments;  ///< segments that may exist
+  std::set<std::string> floors;              ///< floor objects that may exist
+  Checkpoint loading_checkpoint;
   std::size_t loading_part = 0;
   std::map<RequestId, ClaimEntry> claims;
   std::set<RequestId> waiting;
--- a/src/idempotency/detail/messages.h
+++ b/src/idempotency/detail/messages.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What the idempotency log is told and what it decides.
+/// @brief Input messages and resulting actions of the idempotency log.
 #pragma once
 
 #include <cstdint>
@@ -11,76 +11,78 @@
 
 namespace limpetlink {
 
-/// @brief One operation on the object API; each has its own number.
+/// @brief Number of one operation on the object API; never reused by a writer.
 using LogOperationId = NumberId<struct LogOperationTag>;
 
-/// @brief One header of a kept outcome.
+/// @brief One header of a stored outcome.
 struct StoredHeader {
   std::string name;
   std::string value;
 };
 
-/// @brief An upstream's answer, kept to be given again.
+/// @brief An upstream's response, stored for replay.
 struct StoredOutcome {
   int status = 0;
-  std::vector<StoredHeader> headers;  ///< those worth giving again
+  std::vector<StoredHeader> headers;  ///< headers to be replayed
   std::string body;
-  bool body_stored = true;  ///< false: the body was beyond the bound
+  bool body_stored = true;  ///< false: the body exceeded the maximum size
 };
 
 /// @brief Whether the caller may have sent the key before.
 enum class ClaimAttempt {
-  kMaybeRepeated,  ///< nothing is known: only the log can tell
-  kFirst,          ///< the caller declares that it never sent the key before
+  kMaybeRepeated,  ///< unknown; the log has to be read
+  kFirst,          ///< the caller states that the key is new
 };
 
-// ---- What the log is told ----
+// ---- Messages to the log ----
 
-/// @brief A keyed request wants to be dispatched. The answer is one of
-/// DispatchClaim, ReplayOutcome or RefuseClaim.
+/// @brief Claims the key of a request that is ready for dispatch. The log
+/// replies with DispatchClaim, ReplayOutcome or RefuseClaim.
 struct ClaimKey {
   RequestId request;
   OrganisationId organisation;
-  std::string key;            ///< the Idempotency-Key; kept only as a digest
-  std::string body_digest;    ///< Sha256Hex over method, path and body
-  Instant deadline = kNever;  ///< DispatchClaim never comes at or after it
+  std::string key;          ///< the Idempotency-Key; only its digest is stored
+  std::string body_digest;  ///< Sha256Hex of method, path and body
+  Instant deadline = kNever;  ///< DispatchClaim is sent only before it
   ClaimAttempt attempt = ClaimAttempt::kMaybeRepeated;
 };
 
-/// @brief The claim's caller left or was answered before DispatchClaim; it will
-/// not be dispatched, and its key is set free once that can be recorded.
+/// @brief Cancels a claim before DispatchClaim because its caller left or was
+/// already answered. The request will not be dispatched, and its key is freed
+/// once that can be recorded.
 struct AbandonClaim {
   RequestId request;
 };
 
-/// @brief The upstream answered a dispatched claim.
+/// @brief Reports the upstream's response to a dispatched claim.
 struct RecordOutcome {
   RequestId request;
   StoredOutcome outcome;
 };
 
-/// @brief A dispatched claim certainly did not run: not connected, or the
-/// upstream said so. Its key is set free.
+/// @brief Reports that a dispatched claim certainly did not run: the upstream
+/// was not connected or said so. Frees the key.
 struct RecordNotRun {
   RequestId request;
 };
 
-/// @brief Nobody will ever know whether a dispatched claim ran; its key answers
-/// `unknown` until it expires.
+/// @brief Reports that it is unknown, and will stay so, whether a dispatched
+/// claim ran. Requests with its key get the outcome `unknown` until the key
+/// expires.
 struct RecordUnknown {
   RequestId request;
 };
 
-/// @brief How an operation on the object API ended.
+/// @brief Result of an operation on the object API.
 enum class LogOperationStatus {
-  kCreated,      ///< of a create
-  kExists,       ///< of a create: the name is taken
-  kFound,        ///< of a read
-  kAbsent,       ///< of a read or a delete
-  kListed,       ///< of a list
-  kDeleted,      ///< of a delete
+  kCreated,      ///< create succeeded
+  kExists,       ///< create: an object of this name exists
+  kFound,        ///< read succeeded
+  kAbsent,       ///< read or delete: there is no such object
+  kListed,       ///< list succeeded
+  kDeleted,      ///< delete succeeded
   kUnavailable,  ///< certainly without effect: not connected, or refused
-  kLost,         ///< no answer: a write may have taken effect, or may yet
+  kLost,         ///< no response: a write may have taken effect, or may still
 };
 
 template <>
@@ -96,35 +98,35 @@
       {LogOperationStatus::kLost, "lost"}};
 };
 
-/// @brief An operation ended.
+/// @brief Reports the result of an operation.
 struct LogOperationResult {
   LogOperationId operation;
   LogOperationStatus status = LogOperationStatus::kLost;
-  std::string bytes;               ///< of kFound
-  std::vector<std::string> names;  ///< of kListed: whole names
+  std::string bytes;               ///< object content, for kFound
+  std::vector<std::string> names;  ///< full object names, for kListed
 };
 
-/// @brief The host's wall clock, for the expiry of keys only.
+/// @brief Sets the host's wall clock; used only for the expiry of keys.
 struct SetLogClock {
   std::int64_t unix_milliseconds = 0;
 };
 
-/// @brief Read these shards now, so that the first claim does not wait for it.
+/// @brief Loads shards in advance, to save the first claim the wait.
 struct LoadShards {
-  std::vector<std::uint32_t> shards;  ///< empty: all
+  std::vector<std::uint32_t> shards;  ///< shards to load; empty: all
 };
 
-/// @brief Only time has passed.
+/// @brief Runs the timers.
 struct LogTick {};
 
-/// @brief What the log may be told.
+/// @brief A message to the log.
 using LogMessage = std::variant<ClaimKey, AbandonClaim, RecordOutcome,
                                 RecordNotRun, RecordUnknown, LogOperationResult,
                                 SetLogClock, LoadShards, LogTick>;
 
-// ---- What the log decides ----
+// ---- Actions of the log ----
 
-/// @brief Create an object if there is none of that name.
+/// @brief Create an object unless one of this name exists.
 struct LogCreate {
   LogOperationId operation;
   std::string name;
@@ -137,47 +139,47 @@
   std::string name;
 };
 
-/// @brief List the names that start with a prefix.
+/// @brief List all object names with a prefix.
 struct LogList {
   LogOperationId operation;
   std::string prefix;
 };
 
-/// @brief Delete an object; the result is not waited for.
+/// @brief Delete an object; the log does not wait for the result.
 struct LogDelete {
   LogOperationId operation;
   std::string name;
 };
 
-/// @brief The intent is durable: send the request once, now, and never again.
+/// @brief The intent is persisted: send the request now, and never again.
 struct DispatchClaim {
   RequestId request;
 };
 
-/// @brief Give the kept outcome again.
+/// @brief Replay the stored outcome to the caller.
 struct ReplayOutcome {
   RequestId request;
   StoredOutcome outcome;
 };
 
-/// @brief Answer the caller with this problem; nothing was or will be sent for
-/// this request.
+/// @brief Respond to the caller with this problem; this request was not and
+/// will not be sent.
 struct RefuseClaim {
   RequestId request;
   Problem problem;
 };
 
-/// @brief What was reported of the request is durable.
+/// @brief The reported outcome of the request is persisted.
 struct OutcomeRecorded {
   RequestId request;
 };
 
-/// @brief What the log may decide.
+/// @brief An action of the log.
 using LogAction =
     std::variant<LogCreate, LogRead, LogList, LogDelete, DispatchClaim,
                  ReplayOutcome, RefuseClaim, OutcomeRecorded>;
 
-/// @brief Decisions in the sequence in which they are to be carried out.
+/// @brief Actions, in the order in which they must be executed.
 using LogActions = std::vector<LogAction>;
 
 }  // namespace limpetlink
--- a/src/idempotency/detail/segment.h
+++ b/src/idempotency/detail/segment.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Segments of the log, parts of its checkpoints, and their codec.
+/// @brief Log segments, checkpoint parts, and their encoding.
 #pragma once
 
 #include <cstdint>
@@ -16,23 +16,23 @@
 
 /// @brief Digest of an organisation and its key; raw keys are never stored.
 using KeyDigest = TextId<struct KeyDigestTag>;
-/// @brief One claim of a key: the writer and its counter; unique for all time.
+/// @brief Globally unique id of one claim: the writer and its counter.
 using ClaimId = TextId<struct ClaimTag>;
 
-/// @brief Digests an organisation's key.
+/// @brief Computes the digest of an organisation's key.
 /// @return 32 hexadecimal digits
 KeyDigest DigestKey(const OrganisationId& organisation, std::string_view key);
 
-/// @brief A claim wants the key; it holds it unless another claim does.
+/// @brief A claim requests the key; ignored if another claim holds it.
 struct IntentRecord {
   KeyDigest key;
   ClaimId claim;
   std::string body_digest;
   std::int64_t at_ms = 0;
-  ClaimId replaces;  ///< the expired claim that it takes the key from, if any
+  ClaimId replaces;  ///< claim that held the key before, if any
 };
 
-/// @brief The claim's upstream answered.
+/// @brief The upstream responded to the claim.
 struct OutcomeRecord {
   KeyDigest key;
   ClaimId claim;
@@ -40,7 +40,7 @@
   StoredOutcome outcome;
 };
 
-/// @brief The claim was certainly not run; the key is free.
+/// @brief The claim certainly did not run; its key is free.
 struct WithdrawRecord {
   KeyDigest key;
   ClaimId claim;
@@ -50,33 +50,35 @@
 /// @brief One record of a segment.
 using LogRecord = std::variant<IntentRecord, OutcomeRecord, WithdrawRecord>;
 
-/// @brief A part of a checkpoint: an object that holds entries.
+/// @brief A part of a checkpoint: an object with entries.
 struct CheckpointPart {
   std::string name;
-  std::int64_t newest_ms = 0;  ///< of its entries
-  bool sealed = false;  ///< full; one that is not is replaced by the next
+  std::int64_t newest_ms = 0;  ///< time of its newest entry
+  /// Full; an unsealed part is replaced by the next checkpoint.
+  bool sealed = false;
 };
 
-/// @brief States that everything before this segment is in the parts.
+/// @brief Replaces all earlier segments: their entries are in the parts.
 struct Checkpoint {
   std::vector<CheckpointPart> parts;  ///< oldest first; later entries win
-  std::int64_t cutoff_ms = 0;         ///< entries at or before are dropped
+  std::int64_t cutoff_ms = 0;         ///< entries at or before are removed
 };
 
 /// @brief One object of the log: records, or a checkpoint.
 struct Segment {
-  std::string nonce;  ///< writer and counter; tells whose segment it is
-  std::uint64_t checkpoint_sequence = 0;  ///< of the last one before; 0: none
+  std::string nonce;  ///< writer and counter; identifies who wrote it
+  /// Sequence number of the last checkpoint before this segment; 0: none.
+  std::uint64_t checkpoint_sequence = 0;
   bool is_checkpoint = false;
   Checkpoint checkpoint;
   std::vector<LogRecord> records;
 };
 
-/// @brief Where a key stands.
+/// @brief State of a key.
 enum class KeyState {
   kPending,    ///< an intent without an outcome
-  kDone,       ///< the outcome is kept
-  kWithdrawn,  ///< certainly not run: free
+  kDone,       ///< the outcome is stored
+  kWithdrawn,  ///< certainly not run; the key is free
 };
 
 template <>
@@ -87,31 +89,33 @@
       {KeyState::kWithdrawn, "withdrawn"}};
 };
 
-/// @brief What the log says of a key.
+/// @brief The log's state of one key.
 struct KeyEntry {
   KeyState state = KeyState::kPending;
   ClaimId claim;
   std::string body_digest;
-  std::int64_t at_ms = 0;  ///< of the last record
+  std::int64_t at_ms = 0;  ///< time of the last record
   StoredOutcome outcome;   ///< of kDone
 };
 
-/// @brief An entry with its key, as parts hold them.
+/// @brief An entry with its key, as stored in a part.
 struct KeyedEntry {
   KeyDigest key;
   KeyEntry entry;
 };
 
-/// @brief Renders a segment as CBOR.
+/// @brief Encodes a segment as CBOR.
 std::string EncodeSegment(const Segment& segment);
-/// @brief Reads a segment.
-/// @return the segment, or an error with platform.101 when it is not one
+/// @brief Decodes a segment.
+/// @return the segment, or an error with platform.101 if the bytes are
+/// malformed
 absl::StatusOr<Segment> DecodeSegment(std::string_view bytes);
 
-/// @brief Renders a part as CBOR.
+/// @brief Encodes a part as CBOR.
 std::string EncodePart(const std::vector<KeyedEntry>& entries);
-/// @brief Reads a part.
-/// @return its entries, or an error with platform.101 when it is none
+/// @brief Decodes a part.
+/// @return its entries, or an error with platform.101 if the bytes are
+/// malformed
 absl::StatusOr<std::vector<KeyedEntry>> DecodePart(std::string_view bytes);
 
 }  // namespace limpetlink
--- a/src/idempotency/idempotency.h
+++ b/src/idempotency/idempotency.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief At most once for keyed requests: a sharded log of intents and
-/// outcomes in the platform's object API.
+/// @brief At-most-once execution of keyed requests: a sharded log of intents
+/// and outcomes, stored in the platform's object API.
 #pragma once
 
 #include "idempotency/detail/idempotency_log.h"
--- a/src/idempotency/log_shard.cc
+++ b/src/idempotency/log_shard.cc
@@ -144,20 +144,21 @@
 void LogShard::DecideAgainstActive(LogContext& context, ClaimEntry& claim,
                                    const ClaimEntry& active) {
   if (active.cancelled) {
-    // Being withdrawn: the key may be free by now, and taken by another host.
+    // The claim is being withdrawn: its key may already be free and claimed by
+    // another host.
     this->RefuseUnavailable(context, claim);
     return;
   }
-  // While the active_claims claim's intent is not durable nothing is known of
-  // the key.
-  const bool durable = active.phase != ClaimPhase::kWriting;
-  if (durable && active.body_digest != claim.body_digest) {
+  // Until the intent of the active claim is persisted, the state of the key is
+  // unknown.
+  const bool persisted = active.phase != ClaimPhase::kWriting;
+  if (persisted && active.body_digest != claim.body_digest) {
     this->Refuse(context, claim, ErrorCode::kIdempotencyKeyReused,
                  Outcome::kNotRun, "another request with this key is running");
     return;
   }
   const StoredOutcome* outcome =
-      durable ? this->FindUnconfirmedOutcome(active.id) : nullptr;
+      persisted ? this->FindUnconfirmedOutcome(active.id) : nullptr;
   if (outcome != nullptr) {
     ++this->counts.replayed;
     context.out.push_back(ReplayOutcome{claim.request, *outcome});
@@ -190,11 +191,11 @@
                                               const KeyEntry& entry) {
   const bool pending = entry.state == KeyState::kPending;
   if (pending && !claim.tail_confirmed) {
-    return Requirement::kTailRead;  // the holder may be withdrawn by now
+    return Requirement::kTailRead;  // the holder may have been withdrawn
   }
   if (entry.body_digest != claim.body_digest) {
     this->Refuse(context, claim, ErrorCode::kIdempotencyKeyReused,
-                 Outcome::kNotRun, "the key belongs to another request");
+                 Outcome::kNotRun, "the key was used with another request");
     return Requirement::kNone;
   }
   if (!pending) {
@@ -203,9 +204,9 @@
     this->Remove(claim.request);
     return Requirement::kNone;
   }
-  this->Refuse(context, claim, ErrorCode::kIdempotencyOutcomeUnknown,
-               Outcome::kUnknown,
-               "the key was dispatched and no outcome is kept");
+  this->Refuse(
+      context, claim, ErrorCode::kIdempotencyOutcomeUnknown, Outcome::kUnknown,
+      "a request with this key was dispatched and has no stored outcome");
   return Requirement::kNone;
 }
 
@@ -261,8 +262,8 @@
   this->Refuse(context, claim, ErrorCode::kIdempotencyLogUnavailable,
                first ? Outcome::kNotRun : Outcome::kUnknown,
                first ? "this request was not sent"
-                     : "this attempt was not sent; whether an earlier one "
-                       "with the key was cannot be read now");
+                     : "this attempt was not sent; the log cannot be read to "
+                       "tell whether an earlier one was");
 }
 
 void LogShard::RefuseWaiting(LogContext& context) {
@@ -275,7 +276,7 @@
     } else if (requirement == Requirement::kTailRead) {
       this->Refuse(context, claim, ErrorCode::kIdempotencyOutcomeUnknown,
                    Outcome::kUnknown,
-                   "the key is held and its outcome cannot be read now");
+                   "the key is claimed and its outcome cannot be read now");
     }
   }
 }
@@ -331,8 +332,8 @@
       (!this->loaded && this->load_requested)) {
     next = std::min(next, this->retry_at);
   }
-  const bool work =
-      !this->waiting.empty() || !this->records.empty() || this->CompactionDue();
+  const bool work = !this->waiting.empty() || !this->records.empty() ||
+                    this->IsCompactionDue();
   if (work) {
     next = std::min(next, std::max(this->retry_at, this->next_write_at));
   }
--- a/src/idempotency/log_shard_compact.cc
+++ b/src/idempotency/log_shard_compact.cc
@@ -7,14 +7,15 @@
 
 namespace limpetlink {
 
-bool LogShard::CompactionDue() const {
+bool LogShard::IsCompactionDue() const {
   if (!this->loaded || this->write || this->compaction) {
     return false;
   }
-  // The one who wrote last goes first; another steps in when it does not.
+  // The last writer compacts first. Other hosts wait for twice as many segments
+  // and take over if it does not.
   const std::uint32_t threshold =
-      this->segments_per_checkpoint * (this->last_was_own ? 1 : 2);
-  return this->segments_since >= threshold;
+      this->segments_per_checkpoint * (this->last_segment_owned ? 1 : 2);
+  return this->segments_since_checkpoint >= threshold;
 }
 
 void LogShard::StartCompaction(LogContext& context) {
@@ -71,10 +72,10 @@
 void LogShard::HandleFloorCreated(LogContext& context) {
   const std::string own = absl::StrFormat("%s%016d", this->FloorPrefix(),
                                           this->checkpoint_sequence);
-  while (!this->present.empty() &&
-         *this->present.begin() < this->checkpoint_sequence) {
-    this->Delete(context, this->SegmentName(*this->present.begin()));
-    this->present.erase(this->present.begin());
+  while (!this->present_segments.empty() &&
+         *this->present_segments.begin() < this->checkpoint_sequence) {
+    this->Delete(context, this->SegmentName(*this->present_segments.begin()));
+    this->present_segments.erase(this->present_segments.begin());
   }
   for (const std::string& name : this->compaction->unused) {
     this->Delete(context, name);
--- a/src/idempotency/log_shard_load.cc
+++ b/src/idempotency/log_shard_load.cc
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr Duration kReloadDelay = std::chrono::milliseconds(20);
-/// How long a view of the log's end is taken for the end. Efficiency only: a
-/// wrong guess costs a create that collides.
+/// How long the last known end of the log is assumed to be current. Affects
+/// only efficiency: if the assumption is wrong, a create collides.
 constexpr Duration kViewLifetime = std::chrono::seconds(1);
 
 bool IsFailure(LogOperationStatus status) {
@@ -99,8 +99,8 @@
     }
   }
   if (!this->unavailable && context.now >= this->next_write_at) {
-    if (this->CompactionDue()) {
-      // A checkpoint must stand on a view that is known to be genuine.
+    if (this->IsCompactionDue()) {
+      // A checkpoint may only be built from a verified view.
       if (this->verified_sequence == this->next_sequence) {
         this->StartCompaction(context);
       } else {
@@ -109,7 +109,7 @@
       return;
     }
     if (!writing.empty() || !this->records.empty()) {
-      // A read costs the platform less than a create that collides.
+      // A read is cheaper for the platform than a create that collides.
       if (context.now < this->view_fresh_until) {
         this->StartWrite(context, writing);
       } else {
@@ -191,12 +191,12 @@
     ++this->counts.lost_responses;
   }
   if (this->write) {
-    this->FailWrite(context, status);
+    this->HandleWriteFailure(context, status);
     return;
   }
   this->BackOff(context);
   if (this->step == Step::kCreatingFloor) {
-    this->compaction.reset();  // its checkpoint stands; nothing is deleted
+    this->compaction.reset();  // keep its checkpoint; delete nothing
   } else if (this->compaction) {
     this->AbortCompaction(context);
   }
@@ -213,9 +213,9 @@
   this->next_sequence = 1;
   this->verified_sequence = 1;
   this->checkpoint_sequence = 0;
-  this->segments_since = 0;
-  this->bytes_since = 0;
-  this->present.clear();
+  this->segments_since_checkpoint = 0;
+  this->bytes_since_checkpoint = 0;
+  this->present_segments.clear();
   this->step = Step::kIdle;
 }
 
@@ -228,26 +228,26 @@
 void LogShard::HandleSegmentList(LogContext& context,
                                  const LogOperationResult& result) {
   for (const std::string& name : result.names) {
-    this->present.insert(ParseSequence(name));
+    this->present_segments.insert(ParseSequence(name));
   }
-  if (this->present.empty()) {
+  if (this->present_segments.empty()) {
     this->ReadTail(context);
     return;
   }
   this->Read(context, Step::kReadingNewest,
-             this->SegmentName(*this->present.rbegin()));
+             this->SegmentName(*this->present_segments.rbegin()));
 }
 
 void LogShard::HandleNewestSegment(LogContext& context,
                                    const LogOperationResult& result) {
   const auto segment = DecodeSegment(result.bytes);
   if (result.status != LogOperationStatus::kFound || !segment.ok()) {
-    this->Unload();  // deleted meanwhile: list again
+    this->Unload();  // deleted since the list: list again
     this->retry_at = context.now + kReloadDelay;
     return;
   }
   this->checkpoint_sequence = segment->is_checkpoint
-                                  ? *this->present.rbegin()
+                                  ? *this->present_segments.rbegin()
                                   : segment->checkpoint_sequence;
   if (this->checkpoint_sequence == 0) {
     this->ReadTail(context);
@@ -267,18 +267,18 @@
     this->retry_at = context.now + kReloadDelay;
     return;
   }
-  this->loading = segment->checkpoint;
+  this->loading_checkpoint = segment->checkpoint;
   this->loading_part = 0;
   this->ReadNextPart(context);
 }
 
 void LogShard::ReadNextPart(LogContext& context) {
-  if (this->loading_part < this->loading.parts.size()) {
+  if (this->loading_part < this->loading_checkpoint.parts.size()) {
     this->Read(context, Step::kReadingPart,
-               this->loading.parts[this->loading_part].name);
+               this->loading_checkpoint.parts[this->loading_part].name);
     return;
   }
-  this->table.ApplyCheckpoint(this->loading);
+  this->table.ApplyCheckpoint(this->loading_checkpoint);
   this->verified_sequence = this->checkpoint_sequence;
   this->next_sequence = this->checkpoint_sequence + 1;
   this->ReadTail(context);
@@ -316,16 +316,16 @@
       return;
     }
     this->ApplySegment(*segment, result.bytes.size());
-    this->last_was_own = false;
+    this->last_segment_owned = false;
     this->ReadTail(context, this->tail_for_write);
     return;
   }
   this->MarkViewFresh(context);
   if (this->tail_for_write) {
-    this->step = Step::kIdle;  // the write's own check follows
+    this->step = Step::kIdle;  // the write has its own check
     return;
   }
-  this->tail_read = result.operation;
+  this->last_tail_read = result.operation;
   this->List(context, Step::kCheckingTail, this->FloorPrefix());
 }
 
@@ -340,11 +340,11 @@
   this->verified_sequence = this->next_sequence;
   this->loaded = true;
   this->step = Step::kIdle;
-  // Claims that came before the read may be told what the log says.
+  // Claims that arrived before this read started may be decided by its result.
   for (const RequestId request : this->waiting) {
     ClaimEntry& claim = this->claims.at(request);
     claim.tail_confirmed =
-        claim.tail_confirmed || claim.arrival < this->tail_read.value;
+        claim.tail_confirmed || claim.arrival < this->last_tail_read.value;
   }
 }
 
@@ -359,13 +359,13 @@
 
 void LogShard::ApplySegment(const Segment& segment, std::size_t bytes) {
   this->table.Apply(segment);
-  this->present.insert(this->next_sequence);
-  ++this->segments_since;
-  this->bytes_since += bytes;
+  this->present_segments.insert(this->next_sequence);
+  ++this->segments_since_checkpoint;
+  this->bytes_since_checkpoint += bytes;
   if (segment.is_checkpoint) {
     this->checkpoint_sequence = this->next_sequence;
-    this->segments_since = 0;
-    this->bytes_since = 0;
+    this->segments_since_checkpoint = 0;
+    this->bytes_since_checkpoint = 0;
   }
   ++this->next_sequence;
 }
--- a/src/idempotency/log_shard_write.cc
+++ b/src/idempotency/log_shard_write.cc
@@ -7,9 +7,9 @@
 namespace limpetlink {
 namespace {
 
-constexpr std::size_t kEstimatedIntentBytes = 200;  // about, in a segment
-constexpr std::size_t kEstimatedRecordBytes =
-    120;  // about, without the outcome's body
+// Estimated sizes in a segment; a record without the body of its outcome.
+constexpr std::size_t kEstimatedIntentBytes = 200;
+constexpr std::size_t kEstimatedRecordBytes = 120;
 
 std::size_t EstimateSize(const LogRecord& record) {
   const auto* outcome = std::get_if<OutcomeRecord>(&record);
@@ -86,7 +86,7 @@
   }
   const auto segment = DecodeSegment(result.bytes);
   if (!segment.ok()) {
-    this->FailWrite(context, LogOperationStatus::kUnavailable);
+    this->HandleWriteFailure(context, LogOperationStatus::kUnavailable);
     return;
   }
   if (segment->nonce == this->write->segment.nonce) {
@@ -96,7 +96,7 @@
   ++this->counts.collisions;
   this->view_fresh_until = context.now;
   this->ApplySegment(*segment, result.bytes.size());
-  this->last_was_own = false;
+  this->last_segment_owned = false;
   this->RollBackWrite(context);
 }
 
@@ -107,9 +107,10 @@
     this->ConfirmWrite(context);
     return;
   }
-  // Numbers that the view was made from had been used, deleted and perhaps
-  // used again: read anew. A segment below the floor counts for nothing; one
-  // above stands, and the new view tells what came of its records.
+  // Sequence numbers that this view was read from had been freed by deletions
+  // and may have been reused, so the shard is read again. A segment below the
+  // floor is ignored by all hosts; one above it is valid, and the new view
+  // shows what became of its records.
   ++this->counts.stale_views;
   if (floor > this->write->sequence) {
     this->Delete(context, this->SegmentName(this->write->sequence));
@@ -124,7 +125,7 @@
   this->step = Step::kIdle;
   this->ApplySegment(write.segment, write.bytes.size());
   this->verified_sequence = this->next_sequence;
-  this->last_was_own = true;
+  this->last_segment_owned = true;
   this->MarkViewFresh(context);
   ++this->counts.segments;
   this->counts.records += write.segment.records.size();
@@ -166,7 +167,8 @@
   }
 }
 
-void LogShard::FailWrite(LogContext& context, LogOperationStatus status) {
+void LogShard::HandleWriteFailure(LogContext& context,
+                                  LogOperationStatus status) {
   Write& write = *this->write;
   if (this->step == Step::kCreating && status == LogOperationStatus::kLost) {
     write.uncertain = true;
--- a/src/idempotency/segment.cc
+++ b/src/idempotency/segment.cc
@@ -107,11 +107,11 @@
 
 absl::Status UnreadableObject() {
   return MakeStatus(ErrorCode::kPlatformUnavailable,
-                    "an object of the idempotency log cannot be read");
+                    "an object of the idempotency log is malformed");
 }
 
-/// Reads a value out of CBOR; the library reports faults by exceptions, which
-/// end here.
+/// Parses a CBOR value. The JSON library reports malformed input with
+/// exceptions, which are caught here.
 template <typename Value, typename Parse>
 absl::StatusOr<Value> FromCbor(std::string_view bytes, Parse parse) {
   try {
--- a/src/idempotency/tests/idempotency_log_test.cc
+++ b/src/idempotency/tests/idempotency_log_test.cc
@@ -11,12 +11,13 @@
 
 constexpr std::int64_t kUnixMs = 1800000000000;
 
-/// One writer against an object API that answers at once, unless actions not
-/// to.
+/// One writer and an object API that responds immediately unless a failure is
+/// set.
 struct LogFixture {
   std::map<std::string, std::string> objects;
   Instant now{};
-  LogOperationStatus failure = LogOperationStatus::kCreated;  // none
+  // kCreated: no failure
+  LogOperationStatus failure = LogOperationStatus::kCreated;
   bool effect_despite_failure = false;
   std::vector<LogAction> actions;
   std::unique_ptr<IdempotencyLog> log;
@@ -53,21 +54,21 @@
       const bool effect = !fails || this->effect_despite_failure;
       const bool created =
           effect && this->objects.emplace(create->name, create->bytes).second;
-      const auto end =
+      const auto status =
           created ? LogOperationStatus::kCreated : LogOperationStatus::kExists;
-      const auto reported_status = fails ? this->failure : end;
+      const auto reported_status = fails ? this->failure : status;
       if (this->effect_despite_failure) {
-        this->failure = LogOperationStatus::kCreated;  // only this once
+        this->failure = LogOperationStatus::kCreated;  // fail only once
       }
       return LogOperationResult{create->operation, reported_status, "", {}};
     }
     if (const auto* read = std::get_if<LogRead>(&action)) {
       const auto found = this->objects.find(read->name);
       const bool found_object = found != this->objects.end();
-      const auto end = found_object ? LogOperationStatus::kFound
-                                    : LogOperationStatus::kAbsent;
+      const auto status = found_object ? LogOperationStatus::kFound
+                                       : LogOperationStatus::kAbsent;
       return LogOperationResult{read->operation,
-                                fails ? this->failure : end,
+                                fails ? this->failure : status,
                                 found_object ? found->second : "",
                                 {}};
     }
@@ -90,7 +91,7 @@
     return std::nullopt;
   }
 
-  /// Claims and runs on until the log has nothing due.
+  /// Claims a key and advances the time until no operation is due.
   RequestId Claim(const std::string& key, const std::string& body = "b",
                   ClaimAttempt attempt = ClaimAttempt::kMaybeRepeated,
                   Duration deadline = seconds(60)) {
@@ -137,14 +138,14 @@
   }
 };
 
-TEST_CASE_METHOD(LogFixture, "key, outcome kept, is replayed by any host") {
+TEST_CASE_METHOD(LogFixture, "key, outcome stored, is replayed by any host") {
   const RequestId first = this->Claim("k");
   REQUIRE(this->FindAction<DispatchClaim>(first) != nullptr);
   this->Complete(first, "dosed\xFF");
   REQUIRE(this->FindAction<OutcomeRecorded>(first) != nullptr);
   CHECK(this->log->Idle());
-  SECTION("same start") {}
-  SECTION("another start") { this->Restart(); }
+  SECTION("same incarnation") {}
+  SECTION("next incarnation") { this->Restart(); }
   const RequestId second = this->Claim("k");
   const auto* replay = this->FindAction<ReplayOutcome>(second);
   REQUIRE(replay != nullptr);
@@ -155,9 +156,9 @@
   CHECK(this->FindAction<DispatchClaim>(second) == nullptr);
 }
 
-TEST_CASE_METHOD(LogFixture, "key, in use or used otherwise, is refused") {
+TEST_CASE_METHOD(LogFixture, "key, in progress or used before, is refused") {
   const RequestId first = this->Claim("k");
-  SECTION("in progress here") {
+  SECTION("in progress on this host") {
     CHECK(this->RefusalCode(this->Claim("k")) ==
           ErrorCode::kIdempotencyInProgress);
   }
@@ -167,25 +168,25 @@
     CHECK(this->FindAction<RefuseClaim>(other)->problem.outcome ==
           Outcome::kNotRun);
   }
-  SECTION("intent of a host that is gone") {
+  SECTION("intent of a terminated host") {
     this->Restart();
     const RequestId again = this->Claim("k");
     CHECK(this->RefusalCode(again) == ErrorCode::kIdempotencyOutcomeUnknown);
     CHECK(this->FindAction<RefuseClaim>(again)->problem.outcome ==
           Outcome::kUnknown);
   }
-  SECTION("outcome nobody knows") {
+  SECTION("unknown outcome") {
     this->Step(RecordUnknown{first});
     CHECK(this->RefusalCode(this->Claim("k")) ==
           ErrorCode::kIdempotencyOutcomeUnknown);
   }
-  SECTION("certainly not run, is free again") {
+  SECTION("certainly not run, key is free again") {
     this->Step(RecordNotRun{first});
     this->AdvanceTime(seconds(1));
     CHECK(this->FindAction<DispatchClaim>(this->Claim("k", "other")) !=
           nullptr);
   }
-  SECTION("another organisation's key, is another key") {
+  SECTION("same key of another organisation is independent") {
     const RequestId other{++this->next_request};
     this->Step(ClaimKey{other, {"syrtos"}, "k", "b", this->now + seconds(9)});
     this->AdvanceTime(seconds(1));
@@ -193,7 +194,8 @@
   }
 }
 
-TEST_CASE_METHOD(LogFixture, "platform away, claim, is refused at once") {
+TEST_CASE_METHOD(LogFixture,
+                 "platform unavailable, claim, is refused at once") {
   this->Claim("before");
   this->failure = LogOperationStatus::kUnavailable;
   const Instant start = this->now;
@@ -213,7 +215,7 @@
 }
 
 TEST_CASE_METHOD(LogFixture,
-                 "create, answer lost after the write, dispatches") {
+                 "create, response lost after the write, dispatches") {
   this->Claim("before");
   this->failure = LogOperationStatus::kLost;
   this->effect_despite_failure = true;
@@ -222,7 +224,8 @@
   CHECK(this->log->Counts().lost_responses == 1);
 }
 
-TEST_CASE_METHOD(LogFixture, "create, no answer at all, frees the key later") {
+TEST_CASE_METHOD(LogFixture,
+                 "create, no response at all, frees the key later") {
   this->Claim("before");
   this->failure = LogOperationStatus::kLost;
   const RequestId request = this->Claim("k", "b", ClaimAttempt::kFirst);
@@ -234,7 +237,8 @@
   CHECK(this->FindAction<DispatchClaim>(this->Claim("k")) != nullptr);
 }
 
-TEST_CASE_METHOD(LogFixture, "deadline, reached before the write, not sent") {
+TEST_CASE_METHOD(LogFixture,
+                 "deadline, reached before the write, is not sent") {
   const RequestId late =
       this->Claim("k", "b", ClaimAttempt::kFirst, Duration(0));
   CHECK(this->RefusalCode(late) == ErrorCode::kRequestDeadlineReached);
@@ -242,7 +246,7 @@
   CHECK(this->FindAction<DispatchClaim>(this->Claim("k")) != nullptr);
 }
 
-TEST_CASE_METHOD(LogFixture, "key, kept longer than promised, is free again") {
+TEST_CASE_METHOD(LogFixture, "key, retention has expired, is free again") {
   const RequestId first = this->Claim("k");
   this->Complete(first, "x");
   this->now += hours(23);
@@ -251,7 +255,8 @@
   CHECK(this->FindAction<DispatchClaim>(this->Claim("k", "other")) != nullptr);
 }
 
-TEST_CASE_METHOD(LogFixture, "checkpoints, many orders, bound what is read") {
+TEST_CASE_METHOD(LogFixture,
+                 "checkpoints, many orders, limit the stored segments") {
   for (int i = 0; i < 40; ++i) {
     this->Complete(this->Claim("k" + std::to_string(i)), "x");
   }
@@ -267,7 +272,7 @@
     CHECK(
         this->FindAction<ReplayOutcome>(this->Claim("k" + std::to_string(i))));
   }
-  SECTION("expired, are dropped with their parts") {
+  SECTION("expired keys, are removed with their parts") {
     this->now += hours(26);
     this->Restart();
     for (int i = 0; i < 4; ++i) {
@@ -278,7 +283,7 @@
   }
 }
 
-TEST_CASE_METHOD(LogFixture, "outcome, body beyond the bound, keeps the rest") {
+TEST_CASE_METHOD(LogFixture, "outcome, body too large, stores the rest") {
   const RequestId first = this->Claim("k");
   this->Complete(first, std::string(9000, 'x'));
   this->Restart();
@@ -289,7 +294,7 @@
   CHECK_FALSE(replay->outcome.body_stored);
 }
 
-TEST_CASE("segment, damaged anywhere, is an error and nothing else") {
+TEST_CASE("segment, truncated anywhere, is an error") {
   Segment segment;
   segment.nonce = "w-1";
   segment.records = {IntentRecord{{"key"}, {"c"}, "d", 5, {}},
--- a/src/idempotency/tests/interleavings_test.cc
+++ b/src/idempotency/tests/interleavings_test.cc
@@ -5,7 +5,7 @@
 namespace limpetlink {
 namespace {
 
-constexpr std::uint64_t kSeeds = 2500;  // of each of four cases
+constexpr std::uint64_t kSeeds = 2500;  // in each of the four test cases
 
 std::string Join(const std::vector<std::string>& violations) {
   std::string text;
@@ -15,7 +15,7 @@
   return text;
 }
 
-/// Plays a quarter of the seeds; four cases, so that they can run side by side.
+/// Runs a quarter of the seeds; four test cases can run in parallel.
 void RunQuarter(std::uint64_t quarter) {
   LogCounts sum;
   const std::uint64_t first = quarter * kSeeds + 1;
@@ -33,7 +33,7 @@
     sum.dispatched += simulation.counts.dispatched;
     sum.replayed += simulation.counts.replayed;
   }
-  // The runs did meet what they are there for.
+  // Checks that the runs covered the situations under test.
   CHECK(sum.checkpoints > kSeeds / 10);
   CHECK(sum.collisions > kSeeds / 10);
   CHECK(sum.stale_views > 0);
@@ -41,23 +41,24 @@
   CHECK(sum.replayed > kSeeds / 10);
 }
 
-TEST_CASE("idempotency log, seeds 1 to 2500, keeps every promise") {
+TEST_CASE("idempotency log, seeds 1 to 2500, keeps every guarantee") {
   RunQuarter(0);
 }
 
-TEST_CASE("idempotency log, seeds 2501 to 5000, keeps every promise") {
+TEST_CASE("idempotency log, seeds 2501 to 5000, keeps every guarantee") {
   RunQuarter(1);
 }
 
-TEST_CASE("idempotency log, seeds 5001 to 7500, keeps every promise") {
+TEST_CASE("idempotency log, seeds 5001 to 7500, keeps every guarantee") {
   RunQuarter(2);
 }
 
-TEST_CASE("idempotency log, seeds 7501 to 10000, keeps every promise") {
+TEST_CASE("idempotency log, seeds 7501 to 10000, keeps every guarantee") {
   RunQuarter(3);
 }
 
-/// Puts the fault in at each step of one scenario; returns the steps tried.
+/// Injects the fault at each step of one scenario in turn.
+/// @return the number of steps
 std::uint64_t InjectAtEveryStep(std::uint64_t seed, InjectedFault fault) {
   bool more = true;
   std::uint64_t step = 0;
@@ -68,8 +69,8 @@
     LogSimulation simulation(options);
     simulation.Run();
     const auto violations = simulation.history.Check(true);
-    INFO("seed " << seed << ", fault " << static_cast<int>(fault) << " at step "
-                 << step << "\n"
+    INFO("seed " << seed << ", injected fault " << static_cast<int>(fault)
+                 << " at step " << step << "\n"
                  << Join(violations));
     REQUIRE(violations.empty());
     more = step < simulation.events;
@@ -77,7 +78,7 @@
   return step;
 }
 
-TEST_CASE("idempotency log, one fault at every step, keeps every promise") {
+TEST_CASE("idempotency log, one fault at every step, keeps every guarantee") {
   std::uint64_t steps = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     for (const InjectedFault fault :
@@ -103,9 +104,9 @@
   return 0;
 }
 
-TEST_CASE("history checker, one rule broken on purpose, catches it") {
+TEST_CASE("history checker, one deliberate defect, reports it") {
   CHECK(FirstFailingSeed(DeliberateDefect::kRetryAfterSend, 50) > 0);
-  CHECK(FirstFailingSeed(DeliberateDefect::kDispatchBeforeDurable, 50) > 0);
+  CHECK(FirstFailingSeed(DeliberateDefect::kDispatchBeforePersisted, 50) > 0);
   CHECK(FirstFailingSeed(DeliberateDefect::kEarlyNotRun, 50) > 0);
   CHECK(FirstFailingSeed(DeliberateDefect::kLostAsCreated, 2000) > 0);
   CHECK(FirstFailingSeed(DeliberateDefect::kExistsAsCreated, 2000) > 0);
--- a/src/idempotency/tests/log_world.cc
+++ b/src/idempotency/tests/log_world.cc
@@ -192,10 +192,10 @@
   claim.body_digest = attempt.body;
   claim.deadline = this->now + this->RandomMillis(500, 10000);
   claim.attempt = first ? ClaimAttempt::kFirst : ClaimAttempt::kMaybeRepeated;
-  const Instant leaves = this->now + this->RandomMillis(1, 300);
+  const Instant abandon_at = this->now + this->RandomMillis(1, 300);
   this->RunOnHost(host, [this, host, claim] {
     this->Step(host, claim);
-    if (this->options.defect == DeliberateDefect::kDispatchBeforeDurable) {
+    if (this->options.defect == DeliberateDefect::kDispatchBeforePersisted) {
       this->Dispatch(host, claim.request);
     }
   });
@@ -210,14 +210,15 @@
       }
     });
   } else if (!attempt.after_faults && this->Chance(0.1)) {
-    this->Schedule(leaves, [this, host, request, index] {
+    this->Schedule(abandon_at, [this, host, request, index] {
       this->RunOnHost(host, [this, host, request, index] {
         Host& state = this->hosts[host];
         const bool open =
             state.attempts.count(request) > 0 &&
             this->history.attempts[index].upstream_arrivals.empty();
         if (open && this->history.attempts[index].responses == 0) {
-          this->history.attempts[index].host_crashed = true;  // nobody listens
+          // The caller has left.
+          this->history.attempts[index].host_crashed = true;
           this->Step(host, AbandonClaim{request});
         }
       });
@@ -330,16 +331,16 @@
         },
         false);
   } else if (const auto* list = std::get_if<LogList>(&action)) {
-    const bool blind =
+    const bool hide_floors =
         this->options.defect == DeliberateDefect::kNoFloorCheck &&
         list->prefix.rfind("log-floor/", 0) == 0;
     this->RunOperation(
         host, list->operation,
-        [this, prefix = list->prefix, blind] {
+        [this, prefix = list->prefix, hide_floors] {
           LogOperationResult result;
           result.status = LogOperationStatus::kListed;
           for (auto it = this->objects.lower_bound(prefix);
-               !blind && it != this->objects.end() &&
+               !hide_floors && it != this->objects.end() &&
                it->first.rfind(prefix, 0) == 0;
                ++it) {
             result.names.push_back(it->first);
--- a/src/idempotency/tests/log_world.h
+++ b/src/idempotency/tests/log_world.h
@@ -1,6 +1,6 @@
 /// @file
 /// @brief Virtual-time simulation of several log writers, an object API with
-/// faults, callers and an upstream. Equal seeds give equal runs.
+/// faults, callers and an upstream. The same seed gives the same run.
 #pragma once
 
 #include <functional>
@@ -14,63 +14,63 @@
 
 namespace limpetlink {
 
-/// @brief A rule of the system defect on purpose.
+/// @brief A deliberate defect; the history checker must detect each of them.
 enum class DeliberateDefect {
   kNone,
-  kRetryAfterSend,         ///< a cut attempt_record is sent again
-  kDispatchBeforeDurable,  ///< the attempt_record goes out with its claim
-  kEarlyNotRun,            ///< not_run is told while the claim stays open
-  kLostAsCreated,          ///< a lost answer counts as a success
-  kExistsAsCreated,        ///< a collision counts as a success
-  kNoFloorCheck,           ///< the check after a create always passes
-  kAlwaysFirstAttempt,     ///< every attempt is declared the first
+  kRetryAfterSend,           ///< resends an order whose connection was cut
+  kDispatchBeforePersisted,  ///< dispatches an order together with its claim
+  kEarlyNotRun,              ///< reports not_run while the claim is still open
+  kLostAsCreated,            ///< treats a lost response as success
+  kExistsAsCreated,          ///< treats a collision as success
+  kNoFloorCheck,             ///< the check after a create always passes
+  kAlwaysFirstAttempt,       ///< declares each attempt the first one
 };
 
-/// @brief One fault put in at one step.
+/// @brief A fault injected at one step.
 enum class InjectedFault {
   kNone,
-  kCrash,      ///< the host that sends the orders restarts
-  kFreeze,     ///< that host is frozen for 5 s
-  kOutage,     ///< the platform goes unavailable for 5 s
-  kLostAfter,  ///< the next operation takes effect, its answer is lost
+  kCrash,      ///< restarts the host that sends the orders
+  kFreeze,     ///< freezes that host for 5 s
+  kOutage,     ///< makes the platform unavailable for 5 s
+  kLostAfter,  ///< the next operation takes effect, its response is lost
   kLostBefore  ///< the next operation's request is lost
 };
 
-/// @brief Chances and sizes of a run.
+/// @brief Probabilities and sizes of a run.
 struct SimulationOptions {
   std::uint64_t seed = 1;
   DeliberateDefect defect = DeliberateDefect::kNone;
   int hosts = 3;
   int keys = 4;
   int attempts = 16;
-  double lost = 0.06;         ///< of operations: no answer, effect or none
-  double unavailable = 0.05;  ///< of operations: refused without effect
-  double late = 0.03;         ///< of operations: effect long after
-  double crash = 0.05;        ///< for each attempt: some host restarts
-  double freeze = 0.08;       ///< for each attempt: some host is frozen
-  double outage = 0.03;  ///< for each attempt: the platform goes unavailable
+  double lost = 0.06;  ///< per operation: no response, with or without effect
+  double unavailable = 0.05;  ///< per operation: refused without effect
+  double late = 0.03;         ///< per operation: takes effect much later
+  double crash = 0.05;        ///< per attempt: one host restarts
+  double freeze = 0.08;       ///< per attempt: one host is frozen
+  double outage = 0.03;       ///< per attempt: platform outage
   InjectedFault fault = InjectedFault::kNone;
-  std::uint64_t fault_at_event = 0;  ///< counted over the run
+  std::uint64_t fault_at_event = 0;  ///< number of the step over the run
 };
 
-/// @brief The simulation; Run plays one seed.
+/// @brief A simulation of one seed.
 class LogSimulation {
  public:
   explicit LogSimulation(SimulationOptions options);
 
-  /// @brief Plays the whole run delay every wait has ended.
+  /// @brief Runs the simulation until no request waits any more.
   void Run();
 
   OrderHistory history;
-  LogCounts counts;                            ///< over all hosts and restarts
+  LogCounts counts;  ///< over all hosts and incarnations
   std::map<std::string, std::string> objects;  ///< of the platform
-  std::uint64_t events =
-      0;  ///< steps of hosts but for ticks, delay faults_over
+  /// Steps of all hosts, without ticks, until the faults are over.
+  std::uint64_t events = 0;
 
  private:
   struct Host {
     std::unique_ptr<IdempotencyLog> log;
-    int incarnation = 0;  ///< counts restarts
+    int incarnation = 0;  ///< number of restarts
     Instant frozen_until;
     std::map<RequestId, std::size_t> attempts;
   };
--- a/src/idempotency/tests/order_history.cc
+++ b/src/idempotency/tests/order_history.cc
@@ -37,15 +37,15 @@
       continue;
     }
     if (!attempt.upstream_arrivals.empty()) {
-      violations.push_back("an attempt told not_run of key " + attempt.key +
-                           " reached the upstream");
+      violations.push_back("an attempt with the outcome not_run for key " +
+                           attempt.key + " reached the upstream");
     }
     for (const OrderAttempt& other : this->attempts) {
       const bool same = other.key == attempt.key && other.body == attempt.body;
       for (const Instant seen : other.upstream_arrivals) {
         if (same && other.sent < attempt.sent && seen <= attempt.responded_at) {
-          violations.push_back("told not_run of key " + attempt.key +
-                               " which an earlier attempt had run");
+          violations.push_back("not_run was reported for key " + attempt.key +
+                               ", which an earlier attempt had run");
         }
       }
     }
@@ -63,7 +63,7 @@
     bodies[attempt.key].insert(attempt.outcome_body);
     if (attempt.outcome_body.rfind(attempt.key + "/" + attempt.body, 0) != 0) {
       violations.push_back("key " + attempt.key +
-                           " got another order's outcome");
+                           " got the outcome of another order");
     }
   }
   for (const auto& [key, outcomes] : bodies) {
@@ -78,11 +78,11 @@
   for (const OrderAttempt& attempt : this->attempts) {
     if (attempt.responses > 1) {
       violations.push_back("an attempt of key " + attempt.key +
-                           " got two final answers");
+                           " got two final responses");
     }
     if (settled && attempt.responses == 0 && !attempt.host_crashed) {
       violations.push_back("an attempt of key " + attempt.key +
-                           " waits without an end");
+                           " got no response");
     }
   }
 }
@@ -97,8 +97,9 @@
         attempt.responses > 0 && attempt.problem &&
         attempt.problem->code == ErrorCode::kIdempotencyKeyReused;
     if (reused && bodies[attempt.key].size() < 2) {
-      violations.push_back("key " + attempt.key +
-                           " is called reused and is not");
+      violations.push_back(
+          "key " + attempt.key +
+          " was reported as reused, but was used with one body");
     }
   }
 }
@@ -123,16 +124,16 @@
         attempt.problem->code == ErrorCode::kIdempotencyLogUnavailable;
     if (unavailable) {
       violations.push_back("key " + attempt.key +
-                           " is refused though all violations are over");
+                           " is refused although all faults are over");
     }
     const auto kept = recorded.find(attempt.key);
     const bool due = kept != recorded.end() && kept->second == attempt.body;
     if (due && attempt.response == ResponseKind::kProblem) {
-      violations.push_back("the durable outcome of key " + attempt.key +
+      violations.push_back("the stored outcome of key " + attempt.key +
                            " is not replayed");
     }
     if (known.count(attempt.key) == 0 && attempt.responses == 0) {
-      violations.push_back("a fresh key gets no answer");
+      violations.push_back("a new key gets no response");
     }
   }
 }
--- a/src/idempotency/tests/order_history.h
+++ b/src/idempotency/tests/order_history.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The whole history of keyed orders, and the checker of its promises.
+/// @brief History of all keyed orders, and the checker of its guarantees.
 #pragma once
 
 #include <map>
@@ -11,18 +11,18 @@
 
 namespace limpetlink {
 
-/// @brief What an attempt was told.
+/// @brief Kind of response to an attempt.
 enum class ResponseKind { kOutcome, kReplay, kProblem };
 
-/// @brief One attempt_record sent by a caller once.
+/// @brief One transmission of an order by a caller.
 struct OrderAttempt {
   std::string key;
   std::string body;
   Instant sent;
   int responses = 0;
   bool host_crashed = false;
-  bool after_faults = false;  ///< sent when all violations were long over
-  bool recorded = false;      ///< its outcome was called durable
+  bool after_faults = false;  ///< sent long after the last fault
+  bool recorded = false;      ///< its outcome was reported as persisted
   ResponseKind response = ResponseKind::kProblem;
   std::optional<Problem> problem;
   std::string outcome_body;  ///< of an outcome or a replay
@@ -30,13 +30,13 @@
   std::vector<Instant> upstream_arrivals;
 };
 
-/// @brief Everything that happened; attempts are numbered from 0.
+/// @brief All attempts of a run, numbered from 0.
 struct OrderHistory {
   std::vector<OrderAttempt> attempts;
 
-  /// @brief Checks every promise over the whole history.
-  /// @param settled whether the run went on delay every wait had ended
-  /// @return what is defect, in words; empty when nothing is
+  /// @brief Checks every guarantee over the whole history.
+  /// @param settled whether the run continued until no request waited any more
+  /// @return descriptions of all violations; empty if there are none
   std::vector<std::string> Check(bool settled) const;
 
  private:
