--- a/src/idempotency/idempotency_log.cc
+++ b/src/idempotency/idempotency_log.cc
@@ -43,8 +43,8 @@
   return found == this->requests.end() ? nullptr : &this->shards[found->second];
 }
 
-void IdempotencyLog::NoteActions(const LogActions& actions, std::size_t from,
-                                 std::uint32_t shard) {
+void IdempotencyLog::TrackActions(const LogActions& actions, std::size_t from,
+                                  std::uint32_t shard) {
   for (std::size_t i = from; i < actions.size(); ++i) {
     const LogAction& action = actions[i];
     if (const auto* create = std::get_if<LogCreate>(&action)) {
@@ -68,14 +68,14 @@
   const std::uint32_t shard = this->ShardOf(key);
   this->requests[message.request] = shard;
   this->shards[shard].Claim(context, message, key);
-  this->NoteActions(context.out, 0, shard);
+  this->TrackActions(context.out, 0, shard);
 }
 
 void IdempotencyLog::Handle(LogContext& context, const AbandonClaim& message) {
   if (LogShard* shard = this->ShardOfRequest(message.request)) {
     const std::uint32_t index = this->requests.at(message.request);
     shard->Abandon(context, message.request);
-    this->NoteActions(context.out, 0, index);
+    this->TrackActions(context.out, 0, index);
     this->requests.erase(message.request);
   }
 }
@@ -83,8 +83,8 @@
 void IdempotencyLog::Handle(LogContext& context, const RecordOutcome& message) {
   if (LogShard* shard = this->ShardOfRequest(message.request)) {
     const std::uint32_t index = this->requests.at(message.request);
-    shard->Keep(context, message.request, message.outcome);
-    this->NoteActions(context.out, 0, index);
+    shard->StoreOutcome(context, message.request, message.outcome);
+    this->TrackActions(context.out, 0, index);
   }
 }
 
@@ -92,15 +92,15 @@
   if (LogShard* shard = this->ShardOfRequest(message.request)) {
     const std::uint32_t index = this->requests.at(message.request);
     shard->Withdraw(context, message.request);
-    this->NoteActions(context.out, 0, index);
+    this->TrackActions(context.out, 0, index);
   }
 }
 
 void IdempotencyLog::Handle(LogContext& context, const RecordUnknown& message) {
   if (LogShard* shard = this->ShardOfRequest(message.request)) {
     const std::uint32_t index = this->requests.at(message.request);
-    shard->Forget(context, message.request);
-    this->NoteActions(context.out, 0, index);
+    shard->MarkUnknown(context, message.request);
+    this->TrackActions(context.out, 0, index);
   }
 }
 
@@ -112,8 +112,8 @@
   }
   const std::uint32_t shard = found->second;
   this->operations.erase(found);
-  this->shards[shard].Result(context, message);
-  this->NoteActions(context.out, 0, shard);
+  this->shards[shard].HandleResult(context, message);
+  this->TrackActions(context.out, 0, shard);
 }
 
 void IdempotencyLog::Handle(LogContext& context, const SetLogClock& message) {
@@ -122,16 +122,16 @@
 }
 
 void IdempotencyLog::Handle(LogContext& context, const LoadShards& message) {
-  std::vector<std::uint32_t> wanted = message.shards;
-  if (wanted.empty()) {
+  std::vector<std::uint32_t> requested = message.shards;
+  if (requested.empty()) {
     for (std::uint32_t i = 0; i < this->options.shards; ++i) {
-      wanted.push_back(i);
+      requested.push_back(i);
     }
   }
-  for (const std::uint32_t index : wanted) {
+  for (const std::uint32_t index : requested) {
     const std::size_t from = context.out.size();
     this->shards.at(index).Load(context);
-    this->NoteActions(context.out, from, index);
+    this->TrackActions(context.out, from, index);
   }
 }
 
@@ -139,7 +139,7 @@
   for (std::uint32_t i = 0; i < this->options.shards; ++i) {
     const std::size_t from = context.out.size();
     this->shards[i].Tick(context);
-    this->NoteActions(context.out, from, i);
+    this->TrackActions(context.out, from, i);
   }
 }
 
@@ -156,10 +156,10 @@
                      [](const LogShard& shard) { return shard.Idle(); });
 }
 
-std::uint32_t IdempotencyLog::ShardsAway() const {
+std::uint32_t IdempotencyLog::UnavailableShards() const {
   return static_cast<std::uint32_t>(
       std::count_if(this->shards.begin(), this->shards.end(),
-                    [](const LogShard& shard) { return shard.Away(); }));
+                    [](const LogShard& shard) { return shard.Unavailable(); }));
 }
 
 LogCounts IdempotencyLog::Counts() const {
@@ -173,7 +173,7 @@
     sum.segments += part.segments;
     sum.records += part.records;
     sum.collisions += part.collisions;
-    sum.lost_answers += part.lost_answers;
+    sum.lost_responses += part.lost_responses;
     sum.stale_views += part.stale_views;
     sum.checkpoints += part.checkpoints;
     sum.dispatched += part.dispatched;
--- a/src/idempotency/log_shard_compact.cc
+++ b/src/idempotency/log_shard_compact.cc
@@ -7,14 +7,15 @@
 
 namespace limpetlink {
 
-bool LogShard::CompactionDue() const {
+bool LogShard::IsCompactionDue() const {
   if (!this->loaded || this->write || this->compaction) {
     return false;
   }
-  // The one who wrote last goes first; another steps in when it does not.
+  // The last writer compacts first. Other hosts wait for twice as many segments
+  // and take over if it does not.
   const std::uint32_t threshold =
-      this->segments_per_checkpoint * (this->last_was_own ? 1 : 2);
-  return this->segments_since >= threshold;
+      this->segments_per_checkpoint * (this->last_segment_owned ? 1 : 2);
+  return this->segments_since_checkpoint >= threshold;
 }
 
 void LogShard::StartCompaction(LogContext& context) {
@@ -30,7 +31,7 @@
       compaction.unused.push_back(part.name);
     }
   }
-  const auto entries = this->table.OpenEntries(checkpoint.cutoff_ms);
+  const auto entries = this->table.UnsealedEntries(checkpoint.cutoff_ms);
   compaction.part_name =
       absl::StrFormat("log-part/%04d/%s", this->index, context.NextName());
   compaction.part_bytes = EncodePart(entries);
@@ -50,31 +51,31 @@
                this->compaction->part_bytes);
 }
 
-void LogShard::TakePartCreated(LogContext& context) {
+void LogShard::HandlePartCreated(LogContext& context) {
   Write write;
   write.segment = this->compaction->segment;
   this->write = std::move(write);
-  this->CreateAgain(context);
+  this->CreateSegment(context);
 }
 
-void LogShard::DropCompaction(LogContext& context) {
+void LogShard::AbortCompaction(LogContext& context) {
   this->Delete(context, this->compaction->part_name);
   this->compaction.reset();
 }
 
-void LogShard::StartFloor(LogContext& context) {
+void LogShard::CreateFloor(LogContext& context) {
   const std::string name = absl::StrFormat("%s%016d", this->FloorPrefix(),
                                            this->checkpoint_sequence);
   this->Create(context, Step::kCreatingFloor, name, "");
 }
 
-void LogShard::TakeFloor(LogContext& context) {
+void LogShard::HandleFloorCreated(LogContext& context) {
   const std::string own = absl::StrFormat("%s%016d", this->FloorPrefix(),
                                           this->checkpoint_sequence);
-  while (!this->present.empty() &&
-         *this->present.begin() < this->checkpoint_sequence) {
-    this->Delete(context, this->SegmentName(*this->present.begin()));
-    this->present.erase(this->present.begin());
+  while (!this->present_segments.empty() &&
+         *this->present_segments.begin() < this->checkpoint_sequence) {
+    this->Delete(context, this->SegmentName(*this->present_segments.begin()));
+    this->present_segments.erase(this->present_segments.begin());
   }
   for (const std::string& name : this->compaction->unused) {
     this->Delete(context, name);
