--- a/bench/gateway_decisions.cc
+++ b/bench/gateway_decisions.cc
@@ -40,9 +40,9 @@
   return UpstreamId{"i-" + std::to_string(1000000000 + index)};
 }
 
-std::vector<OwnLoad> Loads(std::size_t rows, std::size_t first,
-                           std::size_t workers) {
-  std::vector<OwnLoad> loads;
+std::vector<WorkerLoad> Loads(std::size_t rows, std::size_t first,
+                              std::size_t workers) {
+  std::vector<WorkerLoad> loads;
   for (std::size_t i = 0; i < rows; ++i) {
     loads.push_back({WorkerName((first + i) % workers), 2, 1, kPromptTokens,
                      2 * kMemoryTokens});
@@ -73,18 +73,18 @@
     return Loads(size.rows_per_host, host * 7, size.workers);
   };
   for (std::size_t host = 1; host < neighbours; ++host) {
-    table.TakeShares(now, HostId{"host-" + std::to_string(host)},
-                     shares_of(host));
+    table.ApplyHostLoads(now, HostId{"host-" + std::to_string(host)},
+                         shares_of(host));
   }
   for (std::size_t domain = 1; domain < size.domains; ++domain) {
-    table.TakeDomainLoads(now, FailureDomainId{std::to_string(domain)},
-                          Loads(size.workers, 0, size.workers));
+    table.ApplyDomainLoads(now, FailureDomainId{std::to_string(domain)},
+                           Loads(size.workers, 0, size.workers));
   }
   NeighbourMessage state;
   state.host = HostId{"edge-perth-a-10"};
   state.domain = FailureDomainId{"perth-a"};
   state.address = "10.1.0.29:8180";
-  state.shares = table.OwnLoads();
+  state.shares = table.LocalLoads();
   NeighbourMessage sum = state;
   sum.shares.clear();
   sum.domain_loads = DomainLoads{state.domain, table.DomainLoads()};
@@ -102,7 +102,7 @@
     const absl::StatusOr<NeighbourMessage> read =
         DecodeNeighbourMessage(state_bytes);
     if (read.ok()) {
-      table.TakeShares(now, HostId{"host-1"}, read->shares);
+      table.ApplyHostLoads(now, HostId{"host-1"}, read->shares);
     }
   });
   row["sum_domain_us"] = MicrosecondsEach([&] { table.DomainLoads(); });
--- a/src/dispatch/core.cc
+++ b/src/dispatch/core.cc
@@ -116,7 +116,7 @@
                    {}};
   }
   const auto& everyone = this->router.WorkersOf(message.target);
-  if (!this->router.AnyOpen(this->now, everyone, message.excluded)) {
+  if (!this->router.AnyAvailable(this->now, everyone, message.excluded)) {
     return Problem{ErrorCode::kRoutingNoUpstream, outcome,
                    "no worker of " + message.target + " takes new work",
                    kNoUpstreamRetry};
@@ -133,12 +133,12 @@
     return Problem{ErrorCode::kRetriesExhausted, outcome,
                    "the retry budget is spent", kShortestRetry};
   }
-  const LimitAnswer answer =
+  const LimitDecision answer =
       this->limits.Begin(this->now, message.organisation, message.is_retry);
-  if (answer == LimitAnswer::kWithin) {
+  if (answer == LimitDecision::kWithin) {
     return std::nullopt;
   }
-  const bool rate = answer == LimitAnswer::kRate;
+  const bool rate = answer == LimitDecision::kRate;
   return Problem{
       rate ? ErrorCode::kLimitsRate : ErrorCode::kLimitsConcurrency, outcome,
       rate ? "the organisation's rate is reached"
@@ -182,8 +182,8 @@
   }
   WaitQueue& waiting = queue.Of(submit.request_class);
   if (waiting.Line(submit.organisation) == 0) {
-    this->fair[submit.target].Wake(submit.organisation,
-                                   waiting.Organisations());
+    this->fair[submit.target].Activate(submit.organisation,
+                                       waiting.Organisations());
   }
   waiting.Push(this->now, submit.organisation, entry.ticket);
 }
@@ -291,16 +291,16 @@
   WorkerHealth& health = this->router.Health(worker);
   switch (end) {
     case PlacementEnd::kFinished:
-      health.Succeeded(this->now);
+      health.RecordSuccess(this->now);
       break;
     case PlacementEnd::kCancelled:
       break;
     case PlacementEnd::kNotConnected:
     case PlacementEnd::kRefused:
-      health.Failed(this->now, true);
+      health.RecordFailure(this->now, true);
       break;
     case PlacementEnd::kLost:
-      health.Failed(this->now, false);
+      health.RecordFailure(this->now, false);
       break;
   }
 }
@@ -350,7 +350,7 @@
   if (this->workers.Find(message.worker) == nullptr) {
     return;
   }
-  this->router.Health(message.worker).Reported(this->now, message.draining);
+  this->router.Health(message.worker).ApplyReport(this->now, message.draining);
   EngineLoad load;
   load.memory_tokens = message.memory_tokens;
   load.memory_tokens_used = message.memory_tokens_used;
@@ -368,11 +368,11 @@
   WorkerHealth& health = this->router.Health(message.worker);
   switch (message.state) {
     case WorkerState::kLive:
-      health.Listed(this->now);
+      health.MarkListed(this->now);
       break;
     case WorkerState::kLeaving:
     case WorkerState::kGone:
-      health.Leaving(this->now, true);
+      health.MarkLeaving(this->now, true);
       break;
   }
   this->Drain(this->workers.Find(message.worker)->serves);
@@ -380,8 +380,8 @@
 
 void DispatchCore::On(const CacheEvent& message) {
   if (this->workers.Find(message.worker) != nullptr) {
-    this->router.ObserveCache(message.worker, message.sequence, message.block,
-                              message.present);
+    this->router.ApplyCacheEvent(message.worker, message.sequence,
+                                 message.block, message.present);
   }
 }
 
--- a/src/dispatch/core_ask.cc
+++ b/src/dispatch/core_ask.cc
@@ -139,7 +139,7 @@
     return;
   }
   const bool closed = this->workers.Find(worker) == nullptr ||
-                      this->router.Health(worker).Closed(this->now);
+                      this->router.Health(worker).IsLeaving(this->now);
   if (closed) {
     this->Send(from, PeerRelease{message.ticket, PlacementEnd::kRefused, 0});
     entry.ask.reset();
--- a/src/dispatch/core_drain.cc
+++ b/src/dispatch/core_drain.cc
@@ -62,7 +62,7 @@
   for (const RankedWorker& candidate : ranked) {
     entry.demand.cached_tokens = candidate.cached_tokens;
     const AdmissionAnswer answer = this->workers.Check(
-        this->now, candidate.worker, entry.demand, candidate.share);
+        this->now, candidate.worker, entry.demand, candidate.usable_fraction);
     if (answer == AdmissionAnswer::kAdmit) {
       this->PlaceHere(entry, candidate.worker);
       return true;
--- a/src/dispatch/core_grant.cc
+++ b/src/dispatch/core_grant.cc
@@ -98,8 +98,8 @@
   const auto submit = this->SubmitFrom(message);
   const bool able =
       submit &&
-      this->router.AnyOpen(this->now, this->workers.MineOf(submit->target),
-                           submit->excluded);
+      this->router.AnyAvailable(this->now, this->workers.MineOf(submit->target),
+                                submit->excluded);
   if (!able) {
     this->Send(from, PeerDeny{message.ticket, Duration{0}});
     return;
--- a/src/dispatch/core_wait.cc
+++ b/src/dispatch/core_wait.cc
@@ -119,7 +119,7 @@
     return true;
   }
   const auto& everyone = this->router.WorkersOf(submit.target);
-  if (!this->router.AnyOpen(this->now, everyone, submit.excluded)) {
+  if (!this->router.AnyAvailable(this->now, everyone, submit.excluded)) {
     this->RefuseEntry(entry, ErrorCode::kRoutingNoUpstream,
                       "no worker takes new work", kNoUpstreamRetry);
     return true;
--- a/src/dispatch/detail/limit_table.h
+++ b/src/dispatch/detail/limit_table.h
@@ -37,15 +37,15 @@
 
   /// @brief Counts a request in.
   /// @param again whether it is a repeat
-  LimitAnswer Begin(Instant now, const OrganisationId& organisation,
-                    bool again);
+  LimitDecision Begin(Instant now, const OrganisationId& organisation,
+                      bool again);
 
   /// @brief Counts a request out.
   void End(const OrganisationId& organisation, Duration held);
 
   /// @brief Says when a refused caller may come back.
   Duration RetryAfter(Instant now, const OrganisationId& organisation,
-                      LimitAnswer answer) const;
+                      LimitDecision answer) const;
 
   /// @brief Collects what is to be asked of the limits' owners now: only for
   /// organisations that press against their fallback part. This host's own
@@ -65,7 +65,7 @@
     LimitShare total;
     HostId owner;
     HostLimit here;
-    ShareOwner handed;
+    ShareAllocator handed;
   };
 
   void Refresh(const OrganisationId& organisation, Limits& limits);
--- a/src/dispatch/limit_table.cc
+++ b/src/dispatch/limit_table.cc
@@ -34,10 +34,10 @@
   }
 }
 
-LimitAnswer LimitTable::Begin(Instant now, const OrganisationId& organisation,
-                              bool again) {
+LimitDecision LimitTable::Begin(Instant now, const OrganisationId& organisation,
+                                bool again) {
   const auto it = this->organisations.find(organisation);
-  return it == this->organisations.end() ? LimitAnswer::kWithin
+  return it == this->organisations.end() ? LimitDecision::kWithin
                                          : it->second.here.Begin(now, again);
 }
 
@@ -49,7 +49,7 @@
 }
 
 Duration LimitTable::RetryAfter(Instant now, const OrganisationId& organisation,
-                                LimitAnswer answer) const {
+                                LimitDecision answer) const {
   const auto it = this->organisations.find(organisation);
   return it == this->organisations.end()
              ? Duration{0}
@@ -59,14 +59,14 @@
 std::vector<WantsFor> LimitTable::TakeWants(Instant now) {
   std::map<HostId, std::vector<OrganisationShare>> by_owner;
   for (auto& [organisation, limits] : this->organisations) {
-    const bool pressed = limits.here.Pressed(now);
-    const LimitShare wanted = limits.here.TakeWanted(now);
+    const bool pressed = limits.here.ShouldRequestShare(now);
+    const LimitShare wanted = limits.here.TakeDemand(now);
     if (!pressed || this->live.size() < 2) {
       continue;
     }
     if (limits.owner == this->self) {
-      const LimitShare share = limits.handed.Ask(now, this->self, wanted);
-      limits.here.Grant(share, now + kShareLasts);
+      const LimitShare share = limits.handed.Allocate(now, this->self, wanted);
+      limits.here.Grant(share, now + kShareLifetime);
     } else {
       by_owner[limits.owner].push_back({organisation, wanted});
     }
@@ -88,7 +88,7 @@
     if (it == this->organisations.end()) {
       continue;
     }
-    const LimitShare share = it->second.handed.Ask(now, from, want.share);
+    const LimitShare share = it->second.handed.Allocate(now, from, want.share);
     shares.push_back({want.organisation, share});
   }
   return shares;
@@ -99,7 +99,7 @@
   for (const OrganisationShare& each : shares) {
     const auto it = this->organisations.find(each.organisation);
     if (it != this->organisations.end()) {
-      it->second.here.Grant(each.share, now + kShareLasts);
+      it->second.here.Grant(each.share, now + kShareLifetime);
     }
   }
 }
--- a/src/event_loop/caller_server.cc
+++ b/src/event_loop/caller_server.cc
@@ -69,7 +69,7 @@
 
   bool Waiting() const { return this->request.value != 0; }
 
-  void Sweep(Instant now, const CallerBounds& bounds) {
+  void Sweep(Instant now, const HttpLimits& bounds) {
     if (this->Waiting() || this->is_writing) {
       return;
     }
@@ -114,7 +114,7 @@
   using Parser = http::request_parser<http::string_body>;
 
   void NewParser() {
-    const CallerBounds bounds = this->server->hooks.bounds();
+    const HttpLimits bounds = this->server->hooks.bounds();
     this->parser.emplace();
     this->parser->eager(true);
     this->parser->header_limit(static_cast<std::uint32_t>(bounds.header_bytes));
@@ -430,7 +430,7 @@
 }
 
 void CallerServer::Sweep(Instant now) {
-  const CallerBounds bounds = this->hooks.bounds();
+  const HttpLimits bounds = this->hooks.bounds();
   const std::set<Connection> all = this->connections;
   for (const Connection& connection : all) {
     connection->Sweep(now, bounds);
--- a/src/event_loop/detail/caller_server.h
+++ b/src/event_loop/detail/caller_server.h
@@ -21,7 +21,7 @@
 /// @brief What a server asks of its loop.
 struct CallerServerHooks {
   std::function<void(Event)> emit;  ///< never called from within Take
-  std::function<CallerBounds()> bounds;
+  std::function<HttpLimits()> bounds;
   std::function<RequestId()> next_id;
 };
 
--- a/src/event_loop/detail/event_loop.h
+++ b/src/event_loop/detail/event_loop.h
@@ -22,7 +22,7 @@
 
 /// @brief What the loop asks of the process around it.
 struct EventLoopHooks {
-  std::function<CallerBounds()> bounds;   ///< for callers' requests
+  std::function<HttpLimits()> bounds;     ///< for callers' requests
   std::function<bool()> accepts_callers;  ///< false closes the listener and
                                           ///< idle connections
   std::function<void()> reload;           ///< SIGHUP, and every kReloadCheck
--- a/src/event_loop/tests/event_loop_test.cc
+++ b/src/event_loop/tests/event_loop_test.cc
@@ -126,7 +126,7 @@
   }
 
   ScriptedCore core;
-  CallerBounds bounds;
+  HttpLimits bounds;
   asio::io_context context;
   std::unique_ptr<EventLoop> loop;
   std::thread thread;
--- a/src/gateway/detail/forwarding.h
+++ b/src/gateway/detail/forwarding.h
@@ -64,7 +64,7 @@
                  Instant noticed);
 
   /// @brief A worker has left or started anew.
-  void Forget(const UpstreamId& worker) { this->loads.Forget(worker); }
+  void Forget(const UpstreamId& worker) { this->loads.Remove(worker); }
 
   /// @brief Ends what has reached its deadline; sends second copies.
   void Tick(Instant now);
--- a/src/gateway/detail/gateway_host.h
+++ b/src/gateway/detail/gateway_host.h
@@ -34,7 +34,7 @@
   bool Drained() const;
 
   /// @return bounds for what callers send, as configured now
-  CallerBounds Bounds() const;
+  HttpLimits Bounds() const;
 
   /// @return whether callers may still connect; a host that shuts down lets
   /// them until the balancer has noticed
--- a/src/gateway/forwarding.cc
+++ b/src/gateway/forwarding.cc
@@ -120,7 +120,7 @@
     return problem;
   }
   flow->service = ChooseService(*flow->route, this->random.Fraction());
-  const ForwardingService* service = flow->table->Service(flow->service);
+  const ForwardingService* service = flow->table->FindService(flow->service);
   flow->on_engine = service != nullptr && service->engine.has_value();
   const CallerTerms& told = flow->terms;
   if (flow->on_engine) {
@@ -167,7 +167,7 @@
     return outdated;
   }
   if (flow->terms.key.has_value()) {
-    flow->holder = force.table->HolderOf(*flow->terms.key);
+    flow->holder = force.table->FindKeyHolder(*flow->terms.key);
   }
   if (flow->holder != nullptr) {
     return std::nullopt;
@@ -195,7 +195,7 @@
 }
 
 std::vector<LoadCandidate> Forwarding::Candidates(const Forwarded& flow) const {
-  const ForwardingService* service = flow.table->Service(flow.service);
+  const ForwardingService* service = flow.table->FindService(flow.service);
   std::vector<LoadCandidate> candidates;
   for (const WorkerRegistration* worker :
        this->directory->OpenWorkers(flow.service)) {
@@ -283,8 +283,9 @@
        {"prompt_tokens", std::to_string(flow->size.prompt_tokens)},
        {"memory_tokens", std::to_string(flow->size.tokens)},
        {"own_running", std::to_string(choice->own_running)},
-       {"others_running", std::to_string(choice->others.running)},
-       {"others_tokens_to_read", std::to_string(choice->others.waiting_tokens)},
+       {"others_running", std::to_string(choice->other_hosts.running)},
+       {"others_tokens_to_read",
+        std::to_string(choice->other_hosts.waiting_tokens)},
        {"report_age_ms",
         choice->report_age ? MillisecondsText(*choice->report_age) : "none"},
        {"configuration", std::to_string(flow->table->Contents().version)},
--- a/src/gateway/forwarding_answers.cc
+++ b/src/gateway/forwarding_answers.cc
@@ -50,11 +50,11 @@
   }
   attempt->status = head.status;
   attempt->headers = head.headers;
-  this->loads.Started(attempt->worker, flow->size);
+  this->loads.RecordFirstByte(attempt->worker, flow->size);
   this->hooks.loads_changed(now);
   attempt->said = this->codec.worker_answer(head.headers);
   if (attempt->said.load.has_value()) {
-    this->loads.Report(now, attempt->worker, *attempt->said.load);
+    this->loads.ApplyReport(now, attempt->worker, *attempt->said.load);
   }
   const bool success = head.status >= 200 && head.status < 300;
   const bool foreign = attempt->said.request_id != flow->terms.request_id &&
@@ -193,7 +193,7 @@
   const bool moving =
       flow.move.has_value() && flow.move->source == attempt.worker;
   if (!moving) {  // a worker that leaves does not fail
-    this->loads.Note(now, attempt.worker, failed, silent);
+    this->loads.RecordAttempt(now, attempt.worker, failed, silent);
   }
   if (end == AttemptEnd::kNotConnected) {
     ++flow.connect_failures;
@@ -370,7 +370,7 @@
     this->loads.End(now, attempt.worker, flow->size, attempt.status != 0);
     this->hooks.loads_changed(now);
     if (silent && attempt.status == 0) {
-      this->loads.Note(now, attempt.worker, true, true);
+      this->loads.RecordAttempt(now, attempt.worker, true, true);
     }
   }
   flow->running.clear();
@@ -427,9 +427,10 @@
     const std::size_t asked = this->AskLoads(now);
     const double rounds =
         std::max(1.0, static_cast<double>(asked) / kLoadsEachRound);
-    const double rarer = std::min(
-        kRarestLoads, 1.0 + static_cast<double>(this->loads.HostsTelling()) /
-                                kHostsForOneMore);
+    const double rarer =
+        std::min(kRarestLoads,
+                 1.0 + static_cast<double>(this->loads.AdvertisingHosts()) /
+                           kHostsForOneMore);
     this->next_loads =
         now + FromSeconds(rounds * rarer * ToSeconds(kAskLoadsEvery));
   }
--- a/src/gateway/forwarding_moves.cc
+++ b/src/gateway/forwarding_moves.cc
@@ -37,9 +37,9 @@
     return;
   }
   const ForwardingService* service =
-      first->second.table->Service(worker.service);
+      first->second.table->FindService(worker.service);
   if (service == nullptr || !service->engine.has_value() ||
-      !service->engine->can_move) {
+      !service->engine->supports_migration) {
     return;
   }
   this->AskReport(worker, true, noticed);
@@ -111,7 +111,7 @@
   load.waiting = report->queued;
   load.memory_tokens = report->memory_in_use;
   load.lag = kReportLag;
-  this->loads.Report(now, call.worker.id, load);
+  this->loads.ApplyReport(now, call.worker.id, load);
 }
 
 bool Forwarding::TakeMoveHead(const HttpHead& head) {
@@ -208,7 +208,7 @@
     destinations.push_back({worker->id, worker->domain != call.worker.domain});
   }
   const ForwardingService* service =
-      own.front()->table->Service(call.worker.service);
+      own.front()->table->FindService(call.worker.service);
   MoveSpeed speed;
   if (service != nullptr && service->engine.has_value()) {
     speed = {service->engine->bytes_per_token, service->engine->link_mbps};
--- a/src/gateway/gateway_host.cc
+++ b/src/gateway/gateway_host.cc
@@ -85,17 +85,17 @@
 
 NeighbourHooks GatewayHost::MakeNeighbourHooks() {
   NeighbourHooks hooks;
-  hooks.shares = [this] { return this->forwarding.Loads().OwnLoads(); };
+  hooks.shares = [this] { return this->forwarding.Loads().LocalLoads(); };
   hooks.take_shares = [this](Instant now, const HostId& host,
-                             const std::vector<OwnLoad>& shares) {
-    this->forwarding.Loads().TakeShares(now, host, shares);
+                             const std::vector<WorkerLoad>& shares) {
+    this->forwarding.Loads().ApplyHostLoads(now, host, shares);
   };
   hooks.found = [this](const HostId& host) {
     this->Log(LogLevel::kInfo, "neighbour found", {{"neighbour", host.value}});
   };
   hooks.forget = [this](const HostId& host) {
     this->Log(LogLevel::kInfo, "neighbour lost", {{"neighbour", host.value}});
-    this->forwarding.Loads().ForgetHost(host);
+    this->forwarding.Loads().RemoveHost(host);
   };
   hooks.proofs = [this](Instant now) {
     std::vector<ToldProof> proofs;
@@ -118,12 +118,12 @@
     return this->forwarding.Loads().DomainLoads();
   };
   hooks.take_domain_loads = [this](Instant now, const DomainLoads& told) {
-    this->forwarding.Loads().TakeDomainLoads(now, told.domain, told.loads);
+    this->forwarding.Loads().ApplyDomainLoads(now, told.domain, told.loads);
   };
   hooks.forget_domain = [this](const FailureDomainId& domain) {
     this->Log(LogLevel::kInfo, "failure domain silent",
               {{"domain", domain.value}});
-    this->forwarding.Loads().ForgetDomain(domain);
+    this->forwarding.Loads().RemoveDomain(domain);
   };
   hooks.take_leaving = [this](Instant now, const LeavingWorker& worker) {
     const WorkerRegistration* known = this->directory.Find(worker.worker);
@@ -357,9 +357,9 @@
   return !keys_matter || this->deployments.Age(now) <= bounds.apply;
 }
 
-CallerBounds GatewayHost::Bounds() const {
-  return this->table == nullptr ? CallerBounds{}
-                                : this->table->Contents().bounds;
+HttpLimits GatewayHost::Bounds() const {
+  return this->table == nullptr ? HttpLimits{}
+                                : this->table->Contents().http_limits;
 }
 
 void GatewayHost::AnswerOperator(Instant now, const CallerRequest& request) {
--- a/src/gateway/tests/gateway_fixture.cc
+++ b/src/gateway/tests/gateway_fixture.cc
@@ -155,7 +155,7 @@
     made.host = "fleet";
     made.path_prefix = "/" + name + "/";
     made.kind = kind;
-    made.shares = {{std::move(service), 1.0}};
+    made.services = {{std::move(service), 1.0}};
     made.timeout = seconds(4);
     made.objective = milliseconds(250);
     made.max_attempts = attempts;
@@ -169,7 +169,7 @@
   engine.memory_tokens = 30000;
   engine.bytes_per_token = 131072;
   engine.link_mbps = 19000;
-  engine.can_move = true;
+  engine.supports_migration = true;
   deployment.services = {{"app", std::nullopt}, {"engines", engine}};
   deployment.holders = {
       {OrganisationId{"panel"}, {Sha256Hex("key-1")}, std::nullopt}};
--- a/src/leases/detail/lease.h
+++ b/src/leases/detail/lease.h
@@ -87,7 +87,7 @@
   void Release(Instant now);
 
   /// @brief Stops holding at once, as when an upstream shows a higher epoch.
-  void Drop(Instant now);
+  void Invalidate(Instant now);
 
   /// @return whether the lease is held; ask before each decision
   bool Held(Instant now) const { return now < this->held_until; }
--- a/src/leases/lease.cc
+++ b/src/leases/lease.cc
@@ -181,7 +181,7 @@
   this->next = now;
 }
 
-void Lease::Drop(Instant now) {
+void Lease::Invalidate(Instant now) {
   this->Lose(now);
   this->must_read = true;
   this->next = now;
--- a/src/limits/detail/fair_share.h
+++ b/src/limits/detail/fair_share.h
@@ -20,8 +20,8 @@
   /// @brief An organisation begins to wait after it had nothing waiting: it is
   /// lifted to the least counter of the waiting ones, so that idle time saves
   /// up no claim.
-  void Wake(const OrganisationId& organisation,
-            const std::vector<OrganisationId>& waiting);
+  void Activate(const OrganisationId& organisation,
+                const std::vector<OrganisationId>& waiting);
 
   /// @brief Charges service.
   /// @param tokens prompt and output tokens; may be negative to correct an
--- a/src/limits/detail/host_limit.h
+++ b/src/limits/detail/host_limit.h
@@ -16,14 +16,14 @@
 };
 
 /// @brief Which limit stands against a request.
-enum class LimitAnswer { kWithin, kConcurrency, kRate };
+enum class LimitDecision { kWithin, kConcurrency, kRate };
 
 template <>
-struct EnumTable<LimitAnswer> {
-  static constexpr EnumName<LimitAnswer> kRows[] = {
-      {LimitAnswer::kWithin, "within"},
-      {LimitAnswer::kConcurrency, "concurrency"},
-      {LimitAnswer::kRate, "rate"}};
+struct EnumTable<LimitDecision> {
+  static constexpr EnumName<LimitDecision> kRows[] = {
+      {LimitDecision::kWithin, "within"},
+      {LimitDecision::kConcurrency, "concurrency"},
+      {LimitDecision::kRate, "rate"}};
 };
 
 /// @brief Enforces a host's part: the owner's share while it is fresh, else
@@ -39,7 +39,7 @@
 
   /// @brief Counts a request in when it is within the limits.
   /// @param again whether it is a repeat, which the rate has counted already
-  LimitAnswer Begin(Instant now, bool again = false);
+  LimitDecision Begin(Instant now, bool again = false);
 
   /// @brief Counts a request out.
   /// @param held how long it was in progress
@@ -47,15 +47,15 @@
 
   /// @brief Says when the limit that refused lets the next request in.
   /// @param answer which limit it was
-  Duration RetryAfter(LimitAnswer answer, Instant now) const;
+  Duration RetryAfter(LimitDecision answer, Instant now) const;
 
   /// @return whether more than half of the fallback part is in use, so that
   /// the owner should be asked
-  bool Pressed(Instant now) const;
+  bool ShouldRequestShare(Instant now) const;
 
   /// @brief Gives what this host asks of the owner: its own use, a little
   /// more, over the time since the last call.
-  LimitShare TakeWanted(Instant now);
+  LimitShare TakeDemand(Instant now);
 
   /// @return requests in progress
   std::uint32_t InProgress() const { return this->in_progress; }
--- a/src/limits/detail/share_owner.h
+++ b/src/limits/detail/share_owner.h
@@ -9,7 +9,7 @@
 namespace limpetlink {
 
 /// @brief Kept by the host that owns an organisation's limits.
-class ShareOwner {
+class ShareAllocator {
  public:
   /// @brief Sets the whole limit and the number of hosts.
   void SetTotal(const LimitShare& new_total, std::size_t new_hosts);
@@ -20,7 +20,8 @@
   /// @return its share; the shares handed out for one time never sum to more
   /// than the limit, but for the one request each host may always run
   /// @note Complexity: linear in the hosts that asked lately.
-  LimitShare Ask(Instant now, const HostId& from, const LimitShare& wanted);
+  LimitShare Allocate(Instant now, const HostId& from,
+                      const LimitShare& wanted);
 
  private:
   struct Claim {
@@ -35,6 +36,6 @@
 };
 
 /// @brief How long a share holds.
-inline constexpr Duration kShareLasts = std::chrono::seconds(6);
+inline constexpr Duration kShareLifetime = std::chrono::seconds(6);
 
 }  // namespace limpetlink
--- a/src/limits/fair_share.cc
+++ b/src/limits/fair_share.cc
@@ -8,8 +8,8 @@
   this->accounts[organisation].weight = weight;
 }
 
-void FairShare::Wake(const OrganisationId& organisation,
-                     const std::vector<OrganisationId>& waiting) {
+void FairShare::Activate(const OrganisationId& organisation,
+                         const std::vector<OrganisationId>& waiting) {
   std::optional<double> least;
   for (const OrganisationId& other : waiting) {
     const double counter = this->Counter(other);
--- a/src/limits/host_limit.cc
+++ b/src/limits/host_limit.cc
@@ -45,21 +45,21 @@
   this->refilled = now;
 }
 
-LimitAnswer HostLimit::Begin(Instant now, bool again) {
+LimitDecision HostLimit::Begin(Instant now, bool again) {
   this->Refill(now);
   ++this->arrivals;
   const LimitShare share = this->Current(now);
   if (this->in_progress + 1 > std::max(1.0, share.concurrent)) {
     this->peak = std::max(this->peak, this->in_progress + 1);
-    return LimitAnswer::kConcurrency;
+    return LimitDecision::kConcurrency;
   }
   if (!again && this->allowance < 1.0) {
-    return LimitAnswer::kRate;
+    return LimitDecision::kRate;
   }
   this->allowance -= again ? 0.0 : 1.0;
   ++this->in_progress;
   this->peak = std::max(this->peak, this->in_progress);
-  return LimitAnswer::kWithin;
+  return LimitDecision::kWithin;
 }
 
 void HostLimit::End(Duration held) {
@@ -67,15 +67,15 @@
   this->mean_held += kHeldGain * (ToSeconds(held) - this->mean_held);
 }
 
-bool HostLimit::Pressed(Instant now) const {
+bool HostLimit::ShouldRequestShare(Instant now) const {
   const double passed = ToSeconds(now - this->counted_since);
   const double expected = this->fallback.per_second * kPressedPart * passed;
   return this->peak > this->fallback.concurrent * kPressedPart ||
          this->arrivals > expected + 1.0;
 }
 
-Duration HostLimit::RetryAfter(LimitAnswer answer, Instant now) const {
-  if (answer == LimitAnswer::kConcurrency) {
+Duration HostLimit::RetryAfter(LimitDecision answer, Instant now) const {
+  if (answer == LimitDecision::kConcurrency) {
     return FromSeconds(this->mean_held / std::max(1U, this->in_progress));
   }
   const LimitShare share = this->Current(now);
@@ -86,7 +86,7 @@
   return FromSeconds(missing / share.per_second);
 }
 
-LimitShare HostLimit::TakeWanted(Instant now) {
+LimitShare HostLimit::TakeDemand(Instant now) {
   const double passed = std::max(0.001, ToSeconds(now - this->counted_since));
   LimitShare wanted;
   wanted.concurrent = this->peak;
--- a/src/limits/share_owner.cc
+++ b/src/limits/share_owner.cc
@@ -6,7 +6,7 @@
 namespace {
 
 // A host that does not ask stays under this part of limit / hosts; see
-// HostLimit::Pressed.
+// HostLimit::ShouldRequestShare.
 constexpr double kQuietPart = 0.5;
 
 // What is left for the hosts that ask goes by want; what nobody wants, evenly.
@@ -20,13 +20,14 @@
 
 }  // namespace
 
-void ShareOwner::SetTotal(const LimitShare& new_total, std::size_t new_hosts) {
+void ShareAllocator::SetTotal(const LimitShare& new_total,
+                              std::size_t new_hosts) {
   this->total = new_total;
   this->hosts = std::max<std::size_t>(new_hosts, 1);
 }
 
-LimitShare ShareOwner::Ask(Instant now, const HostId& from,
-                           const LimitShare& wanted) {
+LimitShare ShareAllocator::Allocate(Instant now, const HostId& from,
+                                    const LimitShare& wanted) {
   this->claims[from].wanted = wanted;
   LimitShare all_wanted;
   LimitShare handed;
@@ -64,7 +65,7 @@
   share.per_second = std::max(share.per_second, 0.0);
   Claim& claim = this->claims[from];
   claim.handed = share;
-  claim.until = now + kShareLasts;
+  claim.until = now + kShareLifetime;
   return share;
 }
 
--- a/src/limits/tests/limits_test.cc
+++ b/src/limits/tests/limits_test.cc
@@ -28,7 +28,7 @@
   CHECK(served[OrganisationId{"c"}] == Approx(200000).epsilon(0.01));
   SECTION("one that was idle saves up no claim") {
     const OrganisationId late{"late"};
-    fair.Wake(late, waiting);
+    fair.Activate(late, waiting);
     CHECK(fair.Counter(late) >= fair.Counter(fair.Order(waiting).front()));
   }
 }
@@ -37,17 +37,17 @@
           "[limits]") {
   HostLimit limit;
   limit.SetTotal({8, 40}, 4);
-  CHECK(limit.Begin(At(0)) == LimitAnswer::kWithin);
-  CHECK(limit.Begin(At(0)) == LimitAnswer::kWithin);
-  CHECK(limit.Begin(At(0)) == LimitAnswer::kConcurrency);
+  CHECK(limit.Begin(At(0)) == LimitDecision::kWithin);
+  CHECK(limit.Begin(At(0)) == LimitDecision::kWithin);
+  CHECK(limit.Begin(At(0)) == LimitDecision::kConcurrency);
   SECTION("an end lets the next in") {
     limit.End(std::chrono::seconds(1));
-    CHECK(limit.Begin(At(1)) == LimitAnswer::kWithin);
+    CHECK(limit.Begin(At(1)) == LimitDecision::kWithin);
   }
   SECTION("a share holds until its time") {
     limit.Grant({5, 40}, At(6000));
-    CHECK(limit.Begin(At(1)) == LimitAnswer::kWithin);
-    CHECK(limit.Begin(At(6001)) == LimitAnswer::kConcurrency);
+    CHECK(limit.Begin(At(1)) == LimitDecision::kWithin);
+    CHECK(limit.Begin(At(6001)) == LimitDecision::kConcurrency);
   }
 }
 
@@ -55,20 +55,20 @@
   HostLimit limit;
   limit.SetTotal({1000, 10}, 1);
   int within = 0;
-  while (limit.Begin(At(0)) == LimitAnswer::kWithin) {
+  while (limit.Begin(At(0)) == LimitDecision::kWithin) {
     ++within;
   }
   CHECK(within == 10);
-  const Duration after = limit.RetryAfter(LimitAnswer::kRate, At(0));
+  const Duration after = limit.RetryAfter(LimitDecision::kRate, At(0));
   CHECK(after == std::chrono::milliseconds(100));
-  CHECK(limit.Begin(At(100)) == LimitAnswer::kWithin);
+  CHECK(limit.Begin(At(100)) == LimitDecision::kWithin);
 }
 
 TEST_CASE("share owner, any hosts ask, shares never pass the limit",
           "[limits]") {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Random random(seed);
-    ShareOwner owner;
+    ShareAllocator owner;
     owner.SetTotal({60, 120}, 6);
     std::map<HostId, std::pair<LimitShare, Instant>> held;
     for (int i = 0; i < 200; ++i) {
@@ -76,7 +76,7 @@
       const HostId host{"h" + std::to_string(random.Below(6))};
       const LimitShare wanted{static_cast<double>(random.Below(80)),
                               static_cast<double>(random.Below(200))};
-      held[host] = {owner.Ask(now, host, wanted), now + kShareLasts};
+      held[host] = {owner.Allocate(now, host, wanted), now + kShareLifetime};
       LimitShare sum;
       for (const auto& [each, share] : held) {
         const bool fresh = share.second > now;
--- a/src/neighbours/detail/message.h
+++ b/src/neighbours/detail/message.h
@@ -36,7 +36,7 @@
 /// @brief What all hosts of a failure domain have at the workers.
 struct DomainLoads {
   FailureDomainId domain;
-  std::vector<OwnLoad> loads;
+  std::vector<WorkerLoad> loads;
 };
 
 /// @brief A linearizable call of a host, as it tells others.
@@ -55,7 +55,7 @@
   std::string address;
   std::uint64_t sequence = 0;  ///< rises with each message of a start
   bool asks = false;           ///< wants to be told who its neighbours are
-  std::vector<OwnLoad> shares;
+  std::vector<WorkerLoad> shares;
   std::vector<LeavingWorker> leaving;
   std::vector<NeighbourAddress> neighbours;  ///< the answer to a question
   std::vector<DomainContact> contacts;       ///< in the same answer
--- a/src/neighbours/detail/neighbours.h
+++ b/src/neighbours/detail/neighbours.h
@@ -25,8 +25,8 @@
 
 /// @brief What a host tells of itself and learns from others.
 struct NeighbourHooks {
-  std::function<std::vector<OwnLoad>()> shares;
-  std::function<void(Instant, const HostId&, const std::vector<OwnLoad>&)>
+  std::function<std::vector<WorkerLoad>()> shares;
+  std::function<void(Instant, const HostId&, const std::vector<WorkerLoad>&)>
       take_shares;
   std::function<void(const HostId&)> found;   ///< a neighbour was heard of
   std::function<void(const HostId&)> forget;  ///< a neighbour fell silent
@@ -36,7 +36,7 @@
   /// One of a neighbour; it left no earlier than the instant, by this clock.
   std::function<void(Instant, const ToldProof&)> take_proof;
   /// What all hosts of the own failure domain have at the workers.
-  std::function<std::vector<OwnLoad>()> domain_loads;
+  std::function<std::vector<WorkerLoad>()> domain_loads;
   /// The same of another failure domain; replaces what was told before.
   std::function<void(Instant, const DomainLoads&)> take_domain_loads;
   std::function<void(const FailureDomainId&)> forget_domain;  ///< silent
--- a/src/neighbours/message.cc
+++ b/src/neighbours/message.cc
@@ -53,9 +53,9 @@
   bool sound = true;
 };
 
-Json EncodeLoads(const std::vector<OwnLoad>& loads) {
+Json EncodeLoads(const std::vector<WorkerLoad>& loads) {
   Json rows = Json::array();
-  for (const OwnLoad& load : loads) {
+  for (const WorkerLoad& load : loads) {
     if (rows.size() == kMaxRows) {
       break;
     }
@@ -89,11 +89,11 @@
   return proofs;
 }
 
-std::vector<OwnLoad> ReadLoads(const Json& root, const char* member,
-                               Reader* reader) {
-  std::vector<OwnLoad> loads;
+std::vector<WorkerLoad> ReadLoads(const Json& root, const char* member,
+                                  Reader* reader) {
+  std::vector<WorkerLoad> loads;
   for (const Json& row : reader->Rows(root, member, 5)) {
-    OwnLoad load;
+    WorkerLoad load;
     load.worker.value = reader->Text(row[0]);
     load.running =
         static_cast<std::uint32_t>(reader->Number(row[1], kMaxRunning));
--- a/src/neighbours/tests/neighbours_test.cc
+++ b/src/neighbours/tests/neighbours_test.cc
@@ -14,7 +14,7 @@
   struct Member {
     std::unique_ptr<Neighbours> host;
     std::string address;
-    std::vector<OwnLoad> shares;
+    std::vector<WorkerLoad> shares;
     std::map<std::string, std::uint32_t> running;    ///< as told by others
     std::map<std::string, std::uint32_t> elsewhere;  ///< by domain
     Instant proved_at{};
@@ -29,9 +29,9 @@
     NeighbourHooks hooks;
     hooks.shares = [&member] { return member.shares; };
     hooks.take_shares = [&member](Instant, const HostId& host,
-                                  const std::vector<OwnLoad>& shares) {
+                                  const std::vector<WorkerLoad>& shares) {
       std::uint32_t sum = 0;
-      for (const OwnLoad& share : shares) {
+      for (const WorkerLoad& share : shares) {
         sum += share.running;
       }
       member.running[host.value] = sum;
@@ -58,7 +58,7 @@
     hooks.domain_loads = [&member] { return member.shares; };
     hooks.take_domain_loads = [&member](Instant, const DomainLoads& told) {
       std::uint32_t sum = 0;
-      for (const OwnLoad& load : told.loads) {
+      for (const WorkerLoad& load : told.loads) {
         sum += load.running;
       }
       member.elsewhere[told.domain.value] = sum;
--- a/src/placement/answers.cc
+++ b/src/placement/answers.cc
@@ -145,7 +145,7 @@
   this->BackOff(now, &engine);
   if (call.status == 409 && FenceOf(call.body) > this->epoch) {
     ++this->counters.fenced;
-    this->lease->Drop(now);  // a later holder is at work
+    this->lease->Invalidate(now);  // a later holder is at work
   }
 }
 
--- a/src/routes/detail/deployment.h
+++ b/src/routes/detail/deployment.h
@@ -27,7 +27,7 @@
 };
 
 /// @brief A service that gets a part of a route's requests.
-struct ServiceShare {
+struct WeightedService {
   std::string service;
   double weight = 1.0;  ///< against the weights beside it
 };
@@ -38,12 +38,12 @@
   std::string host;         ///< in lower case, without a port
   std::string path_prefix;  ///< begins and ends with a slash
   RouteKind kind = RouteKind::kNonIdempotent;
-  std::vector<ServiceShare> shares;  ///< at least one
-  Duration timeout{0};               ///< longest that a caller is kept
-  Duration objective{0};             ///< first byte wanted within
-  std::uint32_t max_attempts = 1;    ///< workers that may run one request
-  int priority = 0;                  ///< 0 is the highest
-  bool anonymous = false;            ///< needs no key
+  std::vector<WeightedService> services;  ///< at least one
+  Duration timeout{0};                    ///< longest that a caller is kept
+  Duration objective{0};                  ///< first byte wanted within
+  std::uint32_t max_attempts = 1;         ///< workers that may run one request
+  int priority = 0;                       ///< 0 is the highest
+  bool anonymous = false;                 ///< needs no key
 };
 
 /// @brief What the engines of a model service can hold.
@@ -52,7 +52,7 @@
   std::uint64_t memory_tokens = 0;  ///< running requests and cached prefixes
   double bytes_per_token = 0;       ///< of a stream's memory when it moves
   double link_mbps = 0;             ///< between workers
-  bool can_move = false;            ///< running streams may move
+  bool supports_migration = false;  ///< running streams may move
 };
 
 /// @brief A service that workers register for.
@@ -62,7 +62,7 @@
 };
 
 /// @brief What a caller may send, and how long it may take.
-struct CallerBounds {
+struct HttpLimits {
   std::size_t header_bytes = 16U << 10U;
   std::size_t body_bytes = 4U << 20U;
   Duration header_timeout{std::chrono::seconds(3)};
@@ -81,7 +81,7 @@
   std::uint64_t version = 0;
   std::vector<ForwardingRoute> routes;
   std::vector<ForwardingService> services;
-  CallerBounds bounds;
+  HttpLimits http_limits;
   std::vector<KeyHolder> holders;  ///< empty: no route needs a key
 };
 
--- a/src/routes/detail/route_table.h
+++ b/src/routes/detail/route_table.h
@@ -32,10 +32,10 @@
   /// @brief Finds who holds a key. Keys are looked up by their digest, so that
   /// the time taken tells nothing of the key.
   /// @return the holder, or nullptr
-  const KeyHolder* HolderOf(std::string_view key) const;
+  const KeyHolder* FindKeyHolder(std::string_view key) const;
 
   /// @return the service of that name, or nullptr
-  const ForwardingService* Service(const std::string& name) const;
+  const ForwardingService* FindService(const std::string& name) const;
 
   /// @return whether routes that are not anonymous need a key
   bool NeedsKeys() const { return !this->deployment.holders.empty(); }
--- a/src/routes/route_table.cc
+++ b/src/routes/route_table.cc
@@ -60,14 +60,15 @@
   return nullptr;
 }
 
-const KeyHolder* RouteTable::HolderOf(std::string_view key) const {
+const KeyHolder* RouteTable::FindKeyHolder(std::string_view key) const {
   const auto found = this->by_digest.find(Sha256Hex(key));
   return found == this->by_digest.end()
              ? nullptr
              : &this->deployment.holders[found->second];
 }
 
-const ForwardingService* RouteTable::Service(const std::string& name) const {
+const ForwardingService* RouteTable::FindService(
+    const std::string& name) const {
   const auto found = this->by_service.find(name);
   return found == this->by_service.end()
              ? nullptr
@@ -77,17 +78,17 @@
 const std::string& ChooseService(const ForwardingRoute& route,
                                  double fraction) {
   double sum = 0;
-  for (const ServiceShare& share : route.shares) {
+  for (const WeightedService& share : route.services) {
     sum += share.weight;
   }
   double left = fraction * sum;
-  for (const ServiceShare& share : route.shares) {
+  for (const WeightedService& share : route.services) {
     left -= share.weight;
     if (left < 0) {
       return share.service;
     }
   }
-  return route.shares.front().service;
+  return route.services.front().service;
 }
 
 }  // namespace limpetlink
--- a/src/routes/tests/route_table_test.cc
+++ b/src/routes/tests/route_table_test.cc
@@ -10,7 +10,7 @@
   route.name = std::move(name);
   route.host = "Fleet.Example";
   route.path_prefix = std::move(prefix);
-  route.shares = {{"engines", 1.0}};
+  route.services = {{"engines", 1.0}};
   return route;
 }
 
@@ -58,16 +58,16 @@
 
 TEST_CASE_METHOD(RouteTableFixture, "route table, key, names its holder only",
                  "[routes]") {
-  REQUIRE(this->table.HolderOf("key-1") != nullptr);
-  CHECK(this->table.HolderOf("key-1")->organisation.value == "panel");
-  CHECK(this->table.HolderOf("key-2") == nullptr);
-  CHECK(this->table.HolderOf("") == nullptr);
+  REQUIRE(this->table.FindKeyHolder("key-1") != nullptr);
+  CHECK(this->table.FindKeyHolder("key-1")->organisation.value == "panel");
+  CHECK(this->table.FindKeyHolder("key-2") == nullptr);
+  CHECK(this->table.FindKeyHolder("") == nullptr);
 }
 
 TEST_CASE("split route, weights 90 and 10, divides the fractions so",
           "[routes]") {
   ForwardingRoute route;
-  route.shares = {{"first", 90}, {"second", 10}};
+  route.services = {{"first", 90}, {"second", 10}};
   CHECK(ChooseService(route, 0.0) == "first");
   CHECK(ChooseService(route, 0.89) == "first");
   CHECK(ChooseService(route, 0.91) == "second");
@@ -75,7 +75,7 @@
 
 TEST_CASE("split route, weight 0, is never chosen", "[routes]") {
   ForwardingRoute route;
-  route.shares = {{"none", 0}, {"all", 10}};
+  route.services = {{"none", 0}, {"all", 10}};
   CHECK(ChooseService(route, 0.0) == "all");
   CHECK(ChooseService(route, 0.999) == "all");
 }
--- a/src/routing/detail/health.h
+++ b/src/routing/detail/health.h
@@ -16,31 +16,31 @@
  public:
   /// @brief The host list, a report or a refusal says that the worker leaves.
   /// @param gone whether it is not there any more at all
-  void Leaving(Instant now, bool gone);
+  void MarkLeaving(Instant now, bool gone);
 
   /// @brief The host list says that the worker is live.
-  void Listed(Instant now);
+  void MarkListed(Instant now);
 
   /// @brief The worker's own report arrived.
   /// @param draining whether it says that it leaves
-  void Reported(Instant now, bool draining);
+  void ApplyReport(Instant now, bool draining);
 
   /// @brief A request reached the worker and ended as it should.
-  void Succeeded(Instant now);
+  void RecordSuccess(Instant now);
 
   /// @brief A request failed there.
   /// @param refused the connection or the request was refused: a sign that the
   /// worker leaves
-  void Failed(Instant now, bool refused);
+  void RecordFailure(Instant now, bool refused);
 
   /// @return whether no new work may go there
-  bool Closed(Instant now) const;
+  bool IsLeaving(Instant now) const;
 
   /// @return whether it is out for its failures
   bool Ejected(Instant now) const { return now < this->ejected_until; }
 
   /// @return fraction of the worker that may be used: rises after an ejection
-  double Share(Instant now) const;
+  double UsableFraction(Instant now) const;
 
  private:
   bool leaving = false;
--- a/src/routing/detail/load_table.h
+++ b/src/routing/detail/load_table.h
@@ -24,7 +24,7 @@
 };
 
 /// @brief One host's requests at a worker.
-struct OwnLoad {
+struct WorkerLoad {
   UpstreamId worker;
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;         ///< without a first byte of their answer
@@ -53,7 +53,7 @@
   UpstreamId worker;
   double delay_ms = 0;            ///< estimated, to the first byte
   std::uint32_t own_running = 0;  ///< requests of this host there
-  OwnLoad others;                 ///< as other hosts told
+  WorkerLoad other_hosts;         ///< as other hosts told
   std::optional<Duration> report_age;
 };
 
@@ -68,31 +68,31 @@
 
   /// @brief Another host told of its own requests at the workers; replaces what
   /// it told before.
-  void TakeShares(Instant now, const HostId& host,
-                  const std::vector<OwnLoad>& shares);
+  void ApplyHostLoads(Instant now, const HostId& host,
+                      const std::vector<WorkerLoad>& shares);
 
   /// @brief Another host fell silent; what it told counts no more.
-  void ForgetHost(const HostId& host);
+  void RemoveHost(const HostId& host);
 
   /// @brief All hosts of another failure domain were summed up; replaces what
   /// was told of them before.
-  void TakeDomainLoads(Instant now, const FailureDomainId& domain,
-                       const std::vector<OwnLoad>& loads);
+  void ApplyDomainLoads(Instant now, const FailureDomainId& domain,
+                        const std::vector<WorkerLoad>& loads);
 
   /// @brief Another failure domain fell silent.
-  void ForgetDomain(const FailureDomainId& domain);
+  void RemoveDomain(const FailureDomainId& domain);
 
   /// @return hosts that tell of their own requests
-  std::size_t HostsTelling() const { return this->told.size(); }
+  std::size_t AdvertisingHosts() const { return this->told.size(); }
 
   /// @return this host's own requests at the workers
-  std::vector<OwnLoad> OwnLoads() const;
+  std::vector<WorkerLoad> LocalLoads() const;
 
   /// @return the requests of this host and of those that told it of theirs
-  std::vector<OwnLoad> DomainLoads() const;
+  std::vector<WorkerLoad> DomainLoads() const;
 
   /// @brief The first byte of an answer came.
-  void Started(const UpstreamId& worker, const RequestSize& size);
+  void RecordFirstByte(const UpstreamId& worker, const RequestSize& size);
 
   /// @brief A request was sent to the worker.
   void Begin(Instant now, const UpstreamId& worker, const RequestSize& size);
@@ -103,15 +103,17 @@
            bool started);
 
   /// @brief The worker reported its load.
-  void Report(Instant now, const UpstreamId& worker, const LoadReport& report);
+  void ApplyReport(Instant now, const UpstreamId& worker,
+                   const LoadReport& report);
 
   /// @brief An attempt ended at the worker.
   /// @param failed the worker did not answer as it should
   /// @param silent no answer came at all
-  void Note(Instant now, const UpstreamId& worker, bool failed, bool silent);
+  void RecordAttempt(Instant now, const UpstreamId& worker, bool failed,
+                     bool silent);
 
   /// @brief Forgets a worker; also when it starts again under its id.
-  void Forget(const UpstreamId& worker);
+  void Remove(const UpstreamId& worker);
 
   /// @brief Chooses the worker with the least estimated delay, near ones first.
   /// Ejected workers are taken only when there is no other. A worker whose
@@ -145,10 +147,10 @@
     WorkerHealth health;
   };
 
-  using LoadsByWorker = std::map<UpstreamId, OwnLoad>;
+  using LoadsByWorker = std::map<UpstreamId, WorkerLoad>;
 
   /// @brief Replaces what one host or domain told, and its part of the sums.
-  void Replace(LoadsByWorker* told, const std::vector<OwnLoad>& loads);
+  void Replace(LoadsByWorker* told, const std::vector<WorkerLoad>& loads);
   std::vector<LoadCandidate> Sample(std::vector<LoadCandidate> candidates);
   bool MemoryTold(Instant now, const Entry& entry) const;
   double UsualDelay(Instant now, const std::vector<LoadCandidate>& candidates,
@@ -161,7 +163,7 @@
                      const RequestSize& size) const;
 
   /// @brief What all other hosts told of a worker.
-  OwnLoad OthersAt(const UpstreamId& worker) const;
+  WorkerLoad OthersAt(const UpstreamId& worker) const;
 
   /// @return whether the requests at a worker are known well enough to compare
   bool LoadTold(Instant now, const Entry& entry,
--- a/src/routing/detail/prefixes.h
+++ b/src/routing/detail/prefixes.h
@@ -18,12 +18,12 @@
   /// @param sequence the event's number; repeats are ignored
   /// @param block hash of a prompt block
   /// @param present whether the cache holds the block now
-  void Observe(std::uint64_t sequence, std::uint64_t block, bool present);
+  void ApplyEvent(std::uint64_t sequence, std::uint64_t block, bool present);
 
   /// @brief Counts the leading blocks that the cache is thought to hold.
   /// @param blocks hashes of the prompt's leading blocks
   /// @note Complexity: linear in the blocks found.
-  std::uint32_t Leading(const std::vector<std::uint64_t>& blocks) const;
+  std::uint32_t CountLeading(const std::vector<std::uint64_t>& blocks) const;
 
  private:
   std::unordered_set<std::uint64_t> held;
--- a/src/routing/detail/router.h
+++ b/src/routing/detail/router.h
@@ -35,7 +35,7 @@
   Distance distance = Distance::kSameDomain;
   std::uint32_t cached_tokens = 0;  ///< of the prompt, by the cache hints
   double load = 0;
-  double share = 1.0;  ///< of the worker that may be used
+  double usable_fraction = 1.0;  ///< of the worker that may be used
 };
 
 /// @brief Knows the workers, their health and their caches.
@@ -64,15 +64,15 @@
 
   /// @brief Says whether any of the candidates takes new work.
   /// @note Complexity: ends at the first that does.
-  bool AnyOpen(Instant now, const std::vector<UpstreamId>& candidates,
-               const std::vector<UpstreamId>& excluded) const;
+  bool AnyAvailable(Instant now, const std::vector<UpstreamId>& candidates,
+                    const std::vector<UpstreamId>& excluded) const;
 
   /// @brief Gives a worker's health, to be told of signs.
   WorkerHealth& Health(const UpstreamId& worker);
 
   /// @brief Takes a cache event in.
-  void ObserveCache(const UpstreamId& worker, std::uint64_t sequence,
-                    std::uint64_t block, bool present);
+  void ApplyCacheEvent(const UpstreamId& worker, std::uint64_t sequence,
+                       std::uint64_t block, bool present);
 
   /// @return workers of a target in the document, in order of their names
   const std::vector<UpstreamId>& WorkersOf(const std::string& target) const;
--- a/src/routing/health.cc
+++ b/src/routing/health.cc
@@ -14,17 +14,17 @@
 
 }  // namespace
 
-void WorkerHealth::Leaving(Instant now, bool gone) {
+void WorkerHealth::MarkLeaving(Instant now, bool gone) {
   this->sign = now;
   this->leaving = true;
   this->listed_gone = this->listed_gone || gone;
 }
 
-void WorkerHealth::Listed(Instant /*now*/) { this->listed_gone = false; }
+void WorkerHealth::MarkListed(Instant /*now*/) { this->listed_gone = false; }
 
-void WorkerHealth::Reported(Instant now, bool draining) {
+void WorkerHealth::ApplyReport(Instant now, bool draining) {
   if (draining) {
-    this->Leaving(now, false);
+    this->MarkLeaving(now, false);
     return;
   }
   const bool fresh = now - this->sign >= kReportLag;
@@ -33,16 +33,16 @@
   }
 }
 
-void WorkerHealth::Succeeded(Instant now) {
+void WorkerHealth::RecordSuccess(Instant now) {
   this->failures = 0;
   if (now >= this->returned_until) {
     this->ejections = 0;
   }
 }
 
-void WorkerHealth::Failed(Instant now, bool refused) {
+void WorkerHealth::RecordFailure(Instant now, bool refused) {
   if (refused) {
-    this->Leaving(now, false);
+    this->MarkLeaving(now, false);
   }
   ++this->failures;
   if (this->failures < kFailuresToEject || this->Ejected(now)) {
@@ -57,9 +57,9 @@
   this->returned_until = this->ejected_until + kSlowReturn;
 }
 
-bool WorkerHealth::Closed(Instant /*now*/) const { return this->leaving; }
+bool WorkerHealth::IsLeaving(Instant /*now*/) const { return this->leaving; }
 
-double WorkerHealth::Share(Instant now) const {
+double WorkerHealth::UsableFraction(Instant now) const {
   if (now >= this->returned_until) {
     return 1.0;
   }
--- a/src/routing/load_table.cc
+++ b/src/routing/load_table.cc
@@ -42,29 +42,30 @@
 constexpr double kEngineOtherDomainMs = 300.0;
 constexpr double kEngineOtherRegionMs = 900.0;
 
-std::map<UpstreamId, OwnLoad> ByWorker(const std::vector<OwnLoad>& loads) {
-  std::map<UpstreamId, OwnLoad> by_worker;
-  for (const OwnLoad& load : loads) {
+std::map<UpstreamId, WorkerLoad> ByWorker(
+    const std::vector<WorkerLoad>& loads) {
+  std::map<UpstreamId, WorkerLoad> by_worker;
+  for (const WorkerLoad& load : loads) {
     by_worker[load.worker] = load;
   }
   return by_worker;
 }
 
-void Add(const OwnLoad& load, OwnLoad* sum) {
+void Add(const WorkerLoad& load, WorkerLoad* sum) {
   sum->running += load.running;
   sum->waiting += load.waiting;
   sum->waiting_tokens += load.waiting_tokens;
   sum->tokens += load.tokens;
 }
 
-void Take(const OwnLoad& load, OwnLoad* sum) {
+void Take(const WorkerLoad& load, WorkerLoad* sum) {
   sum->running -= load.running;
   sum->waiting -= load.waiting;
   sum->waiting_tokens -= load.waiting_tokens;
   sum->tokens -= load.tokens;
 }
 
-bool IsZero(const OwnLoad& load) {
+bool IsZero(const WorkerLoad& load) {
   return load.running == 0 && load.waiting == 0 && load.waiting_tokens == 0 &&
          load.tokens == 0;
 }
@@ -108,11 +109,12 @@
   entry.running -= std::min(entry.running, 1U);
   entry.tokens -= std::min(entry.tokens, size.tokens);
   if (!started) {
-    this->Started(worker, size);
+    this->RecordFirstByte(worker, size);
   }
 }
 
-void LoadTable::Started(const UpstreamId& worker, const RequestSize& size) {
+void LoadTable::RecordFirstByte(const UpstreamId& worker,
+                                const RequestSize& size) {
   const auto found = this->entries.find(worker);
   if (found == this->entries.end()) {
     return;
@@ -122,28 +124,28 @@
   entry.waiting_tokens -= std::min(entry.waiting_tokens, size.prompt_tokens);
 }
 
-void LoadTable::TakeShares(Instant /*now*/, const HostId& host,
-                           const std::vector<OwnLoad>& shares) {
+void LoadTable::ApplyHostLoads(Instant /*now*/, const HostId& host,
+                               const std::vector<WorkerLoad>& shares) {
   this->Replace(&this->told[host], shares);
 }
 
-void LoadTable::ForgetHost(const HostId& host) {
+void LoadTable::RemoveHost(const HostId& host) {
   this->Replace(&this->told[host], {});
   this->told.erase(host);
 }
 
-void LoadTable::TakeDomainLoads(Instant /*now*/, const FailureDomainId& domain,
-                                const std::vector<OwnLoad>& loads) {
+void LoadTable::ApplyDomainLoads(Instant /*now*/, const FailureDomainId& domain,
+                                 const std::vector<WorkerLoad>& loads) {
   this->Replace(&this->told_by_domain[domain], loads);
 }
 
-void LoadTable::ForgetDomain(const FailureDomainId& domain) {
+void LoadTable::RemoveDomain(const FailureDomainId& domain) {
   this->Replace(&this->told_by_domain[domain], {});
   this->told_by_domain.erase(domain);
 }
 
 void LoadTable::Replace(LoadsByWorker* told,
-                        const std::vector<OwnLoad>& loads) {
+                        const std::vector<WorkerLoad>& loads) {
   for (const auto& [worker, load] : *told) {
     const auto sum = this->others.find(worker);
     if (sum == this->others.end()) {
@@ -160,8 +162,8 @@
   }
 }
 
-std::vector<OwnLoad> LoadTable::OwnLoads() const {
-  std::vector<OwnLoad> loads;
+std::vector<WorkerLoad> LoadTable::LocalLoads() const {
+  std::vector<WorkerLoad> loads;
   for (const auto& [worker, entry] : this->entries) {
     if (entry.running > 0) {
       loads.push_back({worker, entry.running, entry.waiting,
@@ -171,14 +173,14 @@
   return loads;
 }
 
-std::vector<OwnLoad> LoadTable::DomainLoads() const {
+std::vector<WorkerLoad> LoadTable::DomainLoads() const {
   LoadsByWorker sums;
-  const auto add = [&sums](const OwnLoad& load) {
-    OwnLoad& sum = sums[load.worker];
+  const auto add = [&sums](const WorkerLoad& load) {
+    WorkerLoad& sum = sums[load.worker];
     sum.worker = load.worker;
     Add(load, &sum);
   };
-  for (const OwnLoad& load : this->OwnLoads()) {
+  for (const WorkerLoad& load : this->LocalLoads()) {
     add(load);
   }
   for (const auto& [host, by_worker] : this->told) {
@@ -186,7 +188,7 @@
       add(load);
     }
   }
-  std::vector<OwnLoad> loads;
+  std::vector<WorkerLoad> loads;
   loads.reserve(sums.size());
   for (const auto& [worker, sum] : sums) {
     loads.push_back(sum);
@@ -194,9 +196,9 @@
   return loads;
 }
 
-OwnLoad LoadTable::OthersAt(const UpstreamId& worker) const {
+WorkerLoad LoadTable::OthersAt(const UpstreamId& worker) const {
   const auto found = this->others.find(worker);
-  return found == this->others.end() ? OwnLoad{} : found->second;
+  return found == this->others.end() ? WorkerLoad{} : found->second;
 }
 
 bool LoadTable::LoadTold(Instant now, const Entry& entry,
@@ -206,8 +208,8 @@
          this->told_by_domain.count(candidate.domain) > 0;
 }
 
-void LoadTable::Report(Instant now, const UpstreamId& worker,
-                       const LoadReport& report) {
+void LoadTable::ApplyReport(Instant now, const UpstreamId& worker,
+                            const LoadReport& report) {
   Entry& entry = this->entries[worker];
   const bool told_more = entry.reported &&
                          entry.report.memory_tokens.has_value() &&
@@ -222,18 +224,18 @@
   entry.own_at_report = entry.running;
 }
 
-void LoadTable::Note(Instant now, const UpstreamId& worker, bool failed,
-                     bool silent) {
+void LoadTable::RecordAttempt(Instant now, const UpstreamId& worker,
+                              bool failed, bool silent) {
   Entry& entry = this->entries[worker];
   entry.failures += kNewestFailure * ((failed ? 1.0 : 0.0) - entry.failures);
   if (silent) {
-    entry.health.Failed(now, false);
+    entry.health.RecordFailure(now, false);
   } else {
-    entry.health.Succeeded(now);
+    entry.health.RecordSuccess(now);
   }
 }
 
-void LoadTable::Forget(const UpstreamId& worker) {
+void LoadTable::Remove(const UpstreamId& worker) {
   this->entries.erase(worker);
 }
 
@@ -285,7 +287,7 @@
 double LoadTable::EngineDelay(Instant now, const Entry& entry,
                               const LoadCandidate& candidate,
                               const RequestSize& size) const {
-  const OwnLoad told = this->OthersAt(candidate.worker);
+  const WorkerLoad told = this->OthersAt(candidate.worker);
   auto expected = static_cast<double>(entry.tokens + told.tokens);
   std::uint32_t untold = 0;
   const bool fresh = entry.reported && now - entry.reported_at <= kReportLife;
--- a/src/routing/prefixes.cc
+++ b/src/routing/prefixes.cc
@@ -7,8 +7,8 @@
 
 }  // namespace
 
-void PrefixHints::Observe(std::uint64_t sequence, std::uint64_t block,
-                          bool present) {
+void PrefixHints::ApplyEvent(std::uint64_t sequence, std::uint64_t block,
+                             bool present) {
   const bool restarted = sequence == 1 && this->last > 1;
   if (sequence <= this->last && !restarted) {
     return;
@@ -25,7 +25,7 @@
   }
 }
 
-std::uint32_t PrefixHints::Leading(
+std::uint32_t PrefixHints::CountLeading(
     const std::vector<std::uint64_t>& blocks) const {
   std::uint32_t count = 0;
   for (const std::uint64_t block : blocks) {
--- a/src/routing/router.cc
+++ b/src/routing/router.cc
@@ -83,27 +83,29 @@
     const bool barred =
         std::find(excluded.begin(), excluded.end(), member) != excluded.end();
     const bool ejected = known.health.Ejected(now) && !ignore_ejections;
-    if (barred || ejected || known.health.Closed(now)) {
+    if (barred || ejected || known.health.IsLeaving(now)) {
       continue;
     }
     RankedWorker worker;
     worker.worker = member;
     worker.distance = known.distance;
-    worker.cached_tokens = known.prefixes.Leading(blocks) * kPrefixBlockTokens;
+    worker.cached_tokens =
+        known.prefixes.CountLeading(blocks) * kPrefixBlockTokens;
     worker.load = load(member);
-    worker.share = known.health.Share(now);
+    worker.usable_fraction = known.health.UsableFraction(now);
     ranked.push_back(std::move(worker));
   }
   std::sort(ranked.begin(), ranked.end(), Before);
   return ranked;
 }
 
-bool Router::AnyOpen(Instant now, const std::vector<UpstreamId>& candidates,
-                     const std::vector<UpstreamId>& excluded) const {
+bool Router::AnyAvailable(Instant now,
+                          const std::vector<UpstreamId>& candidates,
+                          const std::vector<UpstreamId>& excluded) const {
   const auto open = [&](const UpstreamId& id) {
     const bool barred =
         std::find(excluded.begin(), excluded.end(), id) != excluded.end();
-    return !barred && !this->workers.at(id).health.Closed(now);
+    return !barred && !this->workers.at(id).health.IsLeaving(now);
   };
   return std::any_of(candidates.begin(), candidates.end(), open);
 }
@@ -112,9 +114,9 @@
   return this->workers[worker].health;
 }
 
-void Router::ObserveCache(const UpstreamId& worker, std::uint64_t sequence,
-                          std::uint64_t block, bool present) {
-  this->workers[worker].prefixes.Observe(sequence, block, present);
+void Router::ApplyCacheEvent(const UpstreamId& worker, std::uint64_t sequence,
+                             std::uint64_t block, bool present) {
+  this->workers[worker].prefixes.ApplyEvent(sequence, block, present);
 }
 
 const std::vector<UpstreamId>& Router::WorkersOf(
--- a/src/routing/tests/load_table_test.cc
+++ b/src/routing/tests/load_table_test.cc
@@ -66,7 +66,7 @@
 
   void Tell(std::size_t from) {
     this->told.push_back(
-        {this->now + kMessage, from, this->tables[from].OwnLoads()});
+        {this->now + kMessage, from, this->tables[from].LocalLoads()});
   }
 
   void Arrive(std::size_t host, const RequestSize& size) {
@@ -89,7 +89,7 @@
       const Told& message = this->told.front();
       for (std::size_t i = 0; i < this->tables.size(); ++i) {
         if (i != message.from) {
-          this->tables[i].TakeShares(
+          this->tables[i].ApplyHostLoads(
               this->now, HostId{std::to_string(message.from)}, message.loads);
         }
       }
@@ -108,7 +108,7 @@
     for (std::size_t i = 0; i < engine.running.size();) {
       EngineModel::Run& run = engine.running[i];
       if (run.first == this->now) {
-        this->tables[run.host].Started(worker, run.size);
+        this->tables[run.host].RecordFirstByte(worker, run.size);
         this->first_ms.push_back(ToSeconds(run.first - run.arrived) * 1000.0);
         this->Tell(run.host);
       }
@@ -152,7 +152,7 @@
   struct Told {
     Instant due{};
     std::size_t from = 0;
-    std::vector<OwnLoad> loads;
+    std::vector<WorkerLoad> loads;
   };
 
   std::vector<LoadTable> tables;
@@ -173,9 +173,9 @@
   const Instant now{};
   const RequestSize size = Stream(3000, 800);
   table.Begin(now, UpstreamId{"fuller"}, size);
-  table.Started(UpstreamId{"fuller"}, size);
+  table.RecordFirstByte(UpstreamId{"fuller"}, size);
   table.Begin(now, UpstreamId{"fuller"}, size);
-  table.Started(UpstreamId{"fuller"}, size);
+  table.RecordFirstByte(UpstreamId{"fuller"}, size);
   table.Begin(now, UpstreamId{"emptier"}, size);
   const std::optional<LoadChoice> choice =
       table.Choose(now, {Engine("emptier"), Engine("fuller")}, size);
@@ -191,7 +191,7 @@
   const RequestSize size = Stream(3000, 800);
   for (int i = 0; i < 7; ++i) {
     table.Begin(now, UpstreamId{"full"}, size);
-    table.Started(UpstreamId{"full"}, size);
+    table.RecordFirstByte(UpstreamId{"full"}, size);
   }
   table.Begin(now, UpstreamId{"reading"}, size);
   const std::optional<LoadChoice> choice =
@@ -208,11 +208,11 @@
   const RequestSize size = Stream(3000, 800);
   LoadCandidate far = Engine("far", Distance::kOtherRegion);
   far.domain = FailureDomainId{"elsewhere"};
-  table.TakeDomainLoads(now, far.domain, {});
+  table.ApplyDomainLoads(now, far.domain, {});
   CHECK(table.Choose(now, {Engine("near"), far}, size)->worker ==
         UpstreamId{"near"});
-  table.TakeShares(now, HostId{"other"},
-                   {{UpstreamId{"near"}, 3, 3, 9000, 11400}});
+  table.ApplyHostLoads(now, HostId{"other"},
+                       {{UpstreamId{"near"}, 3, 3, 9000, 11400}});
   CHECK(table.Choose(now, {Engine("near"), far}, size)->worker ==
         UpstreamId{"far"});
 }
@@ -230,7 +230,7 @@
   far.distance = Distance::kOtherRegion;
   CHECK(table.Choose(now, {near, far}, {})->worker == near.worker);
   for (int i = 0; i < 40; ++i) {
-    table.Note(now, near.worker, i % 2 == 0, false);
+    table.RecordAttempt(now, near.worker, i % 2 == 0, false);
   }
   CHECK(table.Choose(now, {near, far}, {})->worker == far.worker);
 }
@@ -261,23 +261,23 @@
   const auto told = [&] {
     const std::optional<LoadChoice> choice =
         table.Choose(now, {Engine("w")}, Stream(1000, 10));
-    return choice->others;
+    return choice->other_hosts;
   };
-  table.TakeShares(now, HostId{"a"}, {{worker, 2, 1, 3000, 7600}});
-  table.TakeShares(now, HostId{"b"}, {{worker, 0, 0, 0, 0}});
-  table.TakeDomainLoads(now, FailureDomainId{"d"}, {{worker, 1, 0, 0, 3800}});
+  table.ApplyHostLoads(now, HostId{"a"}, {{worker, 2, 1, 3000, 7600}});
+  table.ApplyHostLoads(now, HostId{"b"}, {{worker, 0, 0, 0, 0}});
+  table.ApplyDomainLoads(now, FailureDomainId{"d"}, {{worker, 1, 0, 0, 3800}});
   CHECK(told().running == 3);
   CHECK(told().tokens == 11400);
-  table.TakeShares(now, HostId{"a"}, {{worker, 1, 0, 0, 3800}});
+  table.ApplyHostLoads(now, HostId{"a"}, {{worker, 1, 0, 0, 3800}});
   CHECK(told().running == 2);
   CHECK(told().waiting_tokens == 0);
-  table.ForgetDomain(FailureDomainId{"d"});
-  table.ForgetHost(HostId{"a"});
+  table.RemoveDomain(FailureDomainId{"d"});
+  table.RemoveHost(HostId{"a"});
   CHECK(told().running == 0);
-  table.TakeShares(now, HostId{"b"}, {{worker, 4, 4, 100, 200}});
+  table.ApplyHostLoads(now, HostId{"b"}, {{worker, 4, 4, 100, 200}});
   CHECK(told().running == 4);
-  table.ForgetHost(HostId{"unknown"});
-  table.ForgetHost(HostId{"b"});
+  table.RemoveHost(HostId{"unknown"});
+  table.RemoveHost(HostId{"b"});
   CHECK(told().running == 0);
 }
 
--- a/src/routing/tests/routing_test.cc
+++ b/src/routing/tests/routing_test.cc
@@ -12,21 +12,21 @@
 TEST_CASE("prefix hints, gap in the sequence, every hint is cleared",
           "[routing]") {
   PrefixHints hints;
-  hints.Observe(1, 11, true);
-  hints.Observe(2, 12, true);
-  CHECK(hints.Leading({11, 12, 13}) == 2);
+  hints.ApplyEvent(1, 11, true);
+  hints.ApplyEvent(2, 12, true);
+  CHECK(hints.CountLeading({11, 12, 13}) == 2);
   SECTION("a repeat changes nothing") {
-    hints.Observe(2, 12, false);
-    CHECK(hints.Leading({11, 12}) == 2);
+    hints.ApplyEvent(2, 12, false);
+    CHECK(hints.CountLeading({11, 12}) == 2);
   }
   SECTION("a gap") {
-    hints.Observe(4, 13, true);
-    CHECK(hints.Leading({11}) == 0);
-    CHECK(hints.Leading({13}) == 1);
+    hints.ApplyEvent(4, 13, true);
+    CHECK(hints.CountLeading({11}) == 0);
+    CHECK(hints.CountLeading({13}) == 1);
   }
   SECTION("an eviction") {
-    hints.Observe(3, 11, false);
-    CHECK(hints.Leading({11, 12}) == 0);
+    hints.ApplyEvent(3, 11, false);
+    CHECK(hints.CountLeading({11, 12}) == 0);
   }
 }
 
@@ -35,16 +35,16 @@
   WorkerHealth health;
   for (int i = 0; i < 3; ++i) {
     CHECK_FALSE(health.Ejected(At(1)));
-    health.Failed(At(1), false);
+    health.RecordFailure(At(1), false);
   }
   CHECK(health.Ejected(At(5)));
   CHECK_FALSE(health.Ejected(At(6)));
-  CHECK(health.Share(At(6)) == Approx(0.1));
-  CHECK(health.Share(At(21)) == Approx(0.5));
-  CHECK(health.Share(At(36)) == Approx(1.0));
+  CHECK(health.UsableFraction(At(6)) == Approx(0.1));
+  CHECK(health.UsableFraction(At(21)) == Approx(0.5));
+  CHECK(health.UsableFraction(At(36)) == Approx(1.0));
   SECTION("fails again on return, is out for longer") {
     for (int i = 0; i < 3; ++i) {
-      health.Failed(At(7), false);
+      health.RecordFailure(At(7), false);
     }
     CHECK(health.Ejected(At(16)));
     CHECK_FALSE(health.Ejected(At(17)));
@@ -54,13 +54,13 @@
 TEST_CASE("worker health, gone from the list, no report clears it",
           "[routing]") {
   WorkerHealth health;
-  health.Leaving(At(1), true);
-  health.Reported(At(10), false);
-  CHECK(health.Closed(At(10)));
-  health.Listed(At(11));
-  CHECK(health.Closed(At(11)));
-  health.Reported(At(12), false);
-  CHECK_FALSE(health.Closed(At(12)));
+  health.MarkLeaving(At(1), true);
+  health.ApplyReport(At(10), false);
+  CHECK(health.IsLeaving(At(10)));
+  health.MarkListed(At(11));
+  CHECK(health.IsLeaving(At(11)));
+  health.ApplyReport(At(12), false);
+  CHECK_FALSE(health.IsLeaving(At(12)));
 }
 
 TEST_CASE("router, most workers are ejected, they are used all the same",
@@ -81,11 +81,11 @@
                        [](const UpstreamId&) { return 0.0; });
   };
   for (int i = 0; i < 3; ++i) {
-    router.Health(UpstreamId{"a"}).Failed(At(1), false);
+    router.Health(UpstreamId{"a"}).RecordFailure(At(1), false);
   }
   CHECK(rank().size() == 2);
   for (int i = 0; i < 3; ++i) {
-    router.Health(UpstreamId{"b"}).Failed(At(1), false);
+    router.Health(UpstreamId{"b"}).RecordFailure(At(1), false);
   }
   CHECK(rank().size() == 3);
 }
