--- a/src/routing/detail/health.h
+++ b/src/routing/detail/health.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Whether a worker may get new work: leaving, ejected or returning.
+/// @brief Health of a worker: leaving, ejection and slow start.
 #pragma once
 
 #include <cstdint>
@@ -8,48 +8,51 @@
 
 namespace limpetlink {
 
-/// @brief Signs about one worker, and what follows from them.
-/// @note The earliest sign that a worker leaves is in force at once. It is
-/// cleared only by a report that says otherwise and that arrives later than
-/// any report made before the sign can arrive.
+/// @brief Tracks whether a worker may receive new work.
+/// @note The first signal that a worker is leaving takes effect at once. Only a
+/// report that contradicts it clears it, and only once no report that was sent
+/// before the signal can still arrive.
 class WorkerHealth {
  public:
-  /// @brief The host list, a report or a refusal says that the worker leaves.
-  /// @param gone whether it is not there any more at all
+  /// @brief Marks the worker as leaving, after the host list, a report or a
+  /// refused request indicated it.
+  /// @param gone whether the host list no longer contains the worker
   void MarkLeaving(Instant now, bool gone);
 
-  /// @brief The host list says that the worker is live.
+  /// @brief Records that the host list shows the worker as live.
   void MarkListed(Instant now);
 
-  /// @brief The worker's own report arrived.
-  /// @param draining whether it says that it leaves
+  /// @brief Applies a report that the worker sent about itself.
+  /// @param draining whether the report marks the worker as leaving
   void ApplyReport(Instant now, bool draining);
 
-  /// @brief A request reached the worker and ended as it should.
+  /// @brief Records a request that the worker completed normally.
   void RecordSuccess(Instant now);
 
-  /// @brief A request failed there.
-  /// @param refused the connection or the request was refused: a sign that the
-  /// worker leaves
+  /// @brief Records a request that failed at the worker and ejects the worker
+  /// after several failures in a row.
+  /// @param refused the connection or the request was refused, which also marks
+  /// the worker as leaving
   void RecordFailure(Instant now, bool refused);
 
-  /// @return whether no new work may go there
+  /// @return whether the worker is leaving and takes no new work
   bool IsLeaving(Instant now) const;
 
-  /// @return whether it is out for its failures
+  /// @return whether the worker is ejected because of its failures
   bool Ejected(Instant now) const { return now < this->ejected_until; }
 
-  /// @return fraction of the worker that may be used: rises after an ejection
+  /// @return fraction of the worker's capacity that may be used, in [0.1, 1];
+  /// rises linearly during the slow start after an ejection
   double UsableFraction(Instant now) const;
 
  private:
   bool leaving = false;
   bool listed_gone = false;
-  Instant sign;
-  std::uint32_t failures = 0;   ///< in a row
-  std::uint32_t ejections = 0;  ///< since it last ran well for long
+  Instant leaving_signal_at;
+  std::uint32_t consecutive_failures = 0;
+  std::uint32_t ejections = 0;  ///< since the last success after a slow start
   Instant ejected_until;
-  Instant returned_until;  ///< end of the slow return
+  Instant slow_start_until;
 };
 
 }  // namespace limpetlink
--- a/src/routing/detail/load_table.h
+++ b/src/routing/detail/load_table.h
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Estimates the load of each worker and chooses the one for a request.
+/// @brief LoadTable: estimates the load of each worker and selects one for a
+/// request.
 #pragma once
 
 #include <cstdint>
@@ -14,121 +15,128 @@
 
 namespace limpetlink {
 
-/// @brief What a worker said of its load.
+/// @brief The load that a worker reported.
 struct LoadReport {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   std::uint32_t slots = 0;
-  std::optional<std::uint64_t> memory_tokens;  ///< in use, where it was told
-  Duration lag{0};  ///< how old the figures were when they were told
+  std::optional<std::uint64_t> memory_tokens;  ///< in use, if reported
+  Duration lag{0};  ///< age of the figures when the report was received
 };
 
-/// @brief One host's requests at a worker.
+/// @brief The requests that one host, or a group of hosts, placed at a worker.
 struct WorkerLoad {
   UpstreamId worker;
   std::uint32_t running = 0;
-  std::uint32_t waiting = 0;         ///< without a first byte of their answer
-  std::uint64_t waiting_tokens = 0;  ///< prompts of those that wait
-  std::uint64_t tokens = 0;          ///< of memory when all have ended
+  std::uint32_t waiting = 0;         ///< of these, before their first byte
+  std::uint64_t waiting_tokens = 0;  ///< prompt tokens of the waiting ones
+  std::uint64_t tokens = 0;          ///< memory in use when all have ended
 };
 
-/// @brief What a request will take at a worker; zeros when its service runs no
-/// model.
+/// @brief The resources that a request takes at a worker; zeros if its service
+/// runs no model.
 struct RequestSize {
-  std::uint64_t prompt_tokens = 0;  ///< to be read before the first byte
-  std::uint64_t tokens = 0;         ///< of memory when it has ended
+  std::uint64_t prompt_tokens = 0;  ///< processed before the first byte
+  std::uint64_t tokens = 0;         ///< memory in use when it has ended
 };
 
-/// @brief A worker that may be chosen.
+/// @brief A worker that may be selected.
 struct LoadCandidate {
   UpstreamId worker;
   FailureDomainId domain;
   Distance distance = Distance::kSameDomain;
   std::uint32_t slots = 1;
-  std::uint64_t memory_tokens = 0;  ///< 0: its service runs no model
+  std::uint64_t memory_tokens = 0;  ///< capacity; 0: service runs no model
 };
 
-/// @brief The chosen worker and the inputs of the choice.
+/// @brief The selected worker and the inputs of the selection.
 struct LoadChoice {
   UpstreamId worker;
-  double delay_ms = 0;            ///< estimated, to the first byte
-  std::uint32_t own_running = 0;  ///< requests of this host there
-  WorkerLoad other_hosts;         ///< as other hosts told
+  double delay_ms = 0;            ///< estimated time to the first byte
+  std::uint32_t own_running = 0;  ///< requests of this host at the worker
+  WorkerLoad other_hosts;         ///< as advertised by other hosts
   std::optional<Duration> report_age;
 };
 
-/// @brief Keeps, for each worker, this host's own requests, the worker's last
-/// report and how often it failed. Reports lag and all hosts read the same
-/// ones; own requests begun after a report are counted on top of it.
+/// @brief Tracks, for each worker, the requests of this host, the loads that
+/// other hosts advertise, the worker's last report and its failure rate.
+///
+/// Reports lag, and all hosts read the same ones. Requests that this host
+/// placed after a report are therefore added to the reported load.
 class LoadTable {
  public:
-  /// @param seed of the random part of the choice, which keeps hosts that know
-  /// the same from choosing the same
+  /// @param seed of the random tie-break, which must differ between hosts:
+  /// hosts with equal information would otherwise select the same worker
   explicit LoadTable(std::uint64_t seed) : random(seed) {}
 
-  /// @brief Another host told of its own requests at the workers; replaces what
-  /// it told before.
+  /// @brief Replaces the loads that another host advertises.
   void ApplyHostLoads(Instant now, const HostId& host,
-                      const std::vector<WorkerLoad>& shares);
+                      const std::vector<WorkerLoad>& loads);
 
-  /// @brief Another host fell silent; what it told counts no more.
+  /// @brief Removes the loads of a host that became unresponsive.
   void RemoveHost(const HostId& host);
 
-  /// @brief All hosts of another failure domain were summed up; replaces what
-  /// was told of them before.
+  /// @brief Replaces the loads advertised for another failure domain, summed
+  /// over all of its hosts.
   void ApplyDomainLoads(Instant now, const FailureDomainId& domain,
                         const std::vector<WorkerLoad>& loads);
 
-  /// @brief Another failure domain fell silent.
+  /// @brief Removes the loads of a failure domain that became unresponsive.
   void RemoveDomain(const FailureDomainId& domain);
 
-  /// @return hosts that tell of their own requests
-  std::size_t AdvertisingHosts() const { return this->told.size(); }
+  /// @return the number of hosts that advertise their loads
+  std::size_t AdvertisingHosts() const { return this->loads_by_host.size(); }
 
-  /// @return this host's own requests at the workers
+  /// @return the loads that this host placed
   std::vector<WorkerLoad> LocalLoads() const;
 
-  /// @return the requests of this host and of those that told it of theirs
+  /// @return the loads of this host and of all advertising hosts, summed
   std::vector<WorkerLoad> DomainLoads() const;
 
-  /// @brief The first byte of an answer came.
+  /// @brief Records the first byte of a response.
   void RecordFirstByte(const UpstreamId& worker, const RequestSize& size);
 
-  /// @brief A request was sent to the worker.
+  /// @brief Records that a request was sent to the worker.
   void Begin(Instant now, const UpstreamId& worker, const RequestSize& size);
 
-  /// @brief A request that was sent there has ended.
-  /// @param started the first byte of its answer had come
+  /// @brief Records the end of a request that was sent to the worker.
+  /// @param started whether the first byte of its response had arrived
   void End(Instant now, const UpstreamId& worker, const RequestSize& size,
            bool started);
 
-  /// @brief The worker reported its load.
+  /// @brief Stores a load report of the worker. A report without memory usage
+  /// does not replace a fresh one that has it.
   void ApplyReport(Instant now, const UpstreamId& worker,
                    const LoadReport& report);
 
-  /// @brief An attempt ended at the worker.
-  /// @param failed the worker did not answer as it should
-  /// @param silent no answer came at all
+  /// @brief Records the outcome of an attempt at the worker.
+  /// @param failed whether the attempt failed
+  /// @param silent whether there was no response at all
   void RecordAttempt(Instant now, const UpstreamId& worker, bool failed,
                      bool silent);
 
-  /// @brief Forgets a worker; also when it starts again under its id.
+  /// @brief Removes a worker; also called when a new incarnation of the worker
+  /// registers under the same id.
   void Remove(const UpstreamId& worker);
 
-  /// @brief Chooses the worker with the least estimated delay, near ones first.
-  /// Ejected workers are taken only when there is no other. A worker whose
-  /// memory is not told is taken to be loaded as the others are. Of many
-  /// candidates at the least distance only a random part is compared: many
-  /// hosts read the same lagging reports, and would all choose the same worker.
+  /// @brief Selects the worker with the least estimated delay.
+  ///
+  /// Distance adds to the delay, so that near workers are preferred. Ejected
+  /// workers are selected only if there is no other. An engine of unknown load
+  /// is assumed to be at least as loaded as the mean of the others.
+  ///
+  /// While no other host advertises its load, only a random sample of many
+  /// candidates in the own failure domain is compared: the hosts all read the
+  /// same lagging reports and would otherwise all select the same worker.
   /// @param candidates workers that take new work
-  /// @return the choice, or nothing when there is no candidate
+  /// @return the selection, or nothing if there is no candidate
   std::optional<LoadChoice> Choose(Instant now,
                                    std::vector<LoadCandidate> candidates,
                                    const RequestSize& size);
 
  private:
-  /// @brief A request of this host that a lagging report may not hold yet.
-  struct Begun {
+  /// @brief A request of this host that a lagging report may not include yet.
+  struct RecentPlacement {
     Instant at{};
     std::uint64_t tokens = 0;
   };
@@ -138,41 +146,53 @@
     std::uint32_t waiting = 0;
     std::uint64_t waiting_tokens = 0;
     std::uint64_t tokens = 0;
-    std::uint32_t own_at_report = 0;
-    std::deque<Begun> begun;  ///< younger than the longest lag
+    std::uint32_t own_at_report = 0;     ///< own requests at the last report
+    std::deque<RecentPlacement> recent;  ///< younger than the longest lag
     LoadReport report;
     Instant reported_at{};
     bool reported = false;
-    double failures = 0;  ///< share of the latest attempts
+    double failure_rate = 0;  ///< moving average over attempts, in [0, 1]
     WorkerHealth health;
   };
 
   using LoadsByWorker = std::map<UpstreamId, WorkerLoad>;
 
-  /// @brief Replaces what one host or domain told, and its part of the sums.
-  void Replace(LoadsByWorker* told, const std::vector<WorkerLoad>& loads);
+  /// @brief Replaces the loads that one host or domain advertised and updates
+  /// the sums.
+  void Replace(LoadsByWorker* advertised, const std::vector<WorkerLoad>& loads);
   std::vector<LoadCandidate> Sample(std::vector<LoadCandidate> candidates);
-  bool MemoryTold(Instant now, const Entry& entry) const;
-  double UsualDelay(Instant now, const std::vector<LoadCandidate>& candidates,
-                    const RequestSize& size);
+  bool HasFreshMemoryReport(Instant now, const Entry& entry) const;
+
+  /// @brief Returns the mean delay of the engines whose load is known, in
+  /// milliseconds; 0 if there are none.
+  double MeanEngineDelay(Instant now,
+                         const std::vector<LoadCandidate>& candidates,
+                         const RequestSize& size);
+
+  /// @brief Returns the reported memory usage plus own requests that the report
+  /// does not include yet, in tokens; 0 without a fresh report.
   double ReportedMemory(Instant now, const Entry& entry) const;
+
+  /// @brief Estimates the delay at a worker without a model, in milliseconds.
   double SlotDelay(Instant now, const Entry& entry,
                    const LoadCandidate& candidate) const;
+
+  /// @brief Estimates the delay at a worker with a model, in milliseconds.
   double EngineDelay(Instant now, const Entry& entry,
                      const LoadCandidate& candidate,
                      const RequestSize& size) const;
 
-  /// @brief What all other hosts told of a worker.
-  WorkerLoad OthersAt(const UpstreamId& worker) const;
+  /// @brief Returns the load of a worker that all other hosts advertised.
+  WorkerLoad OtherHostsLoadAt(const UpstreamId& worker) const;
 
-  /// @return whether the requests at a worker are known well enough to compare
-  bool LoadTold(Instant now, const Entry& entry,
-                const LoadCandidate& candidate) const;
+  /// @return whether the load of a worker is known well enough to compare it
+  bool IsLoadKnown(Instant now, const Entry& entry,
+                   const LoadCandidate& candidate) const;
 
   std::map<UpstreamId, Entry> entries;
-  LoadsByWorker others;  ///< sums over all that was told
-  std::map<HostId, LoadsByWorker> told;
-  std::map<FailureDomainId, LoadsByWorker> told_by_domain;
+  LoadsByWorker other_hosts;  ///< sums over loads_by_host and loads_by_domain
+  std::map<HostId, LoadsByWorker> loads_by_host;
+  std::map<FailureDomainId, LoadsByWorker> loads_by_domain;
   Random random;
 };
 
--- a/src/routing/detail/router.h
+++ b/src/routing/detail/router.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Orders the workers of a target for one request.
+/// @brief Router: ranks the workers of a target for one request.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +15,10 @@
 
 namespace limpetlink {
 
-/// @brief Tokens that one prefix block stands for.
+/// @brief Tokens in one prefix block.
 inline constexpr std::uint32_t kPrefixBlockTokens = 16;
 
-/// @brief How far a worker stands from this host; later ones are billed more.
+/// @brief Distance of a worker from this host, in order of rising traffic cost.
 enum class Distance { kSameDomain, kSameRegion, kOtherRegion };
 
 template <>
@@ -29,32 +29,31 @@
       {Distance::kOtherRegion, "other_region"}};
 };
 
-/// @brief A worker that may get a request.
+/// @brief A worker that may receive a request.
 struct RankedWorker {
   UpstreamId worker;
   Distance distance = Distance::kSameDomain;
   std::uint32_t cached_tokens = 0;  ///< of the prompt, by the cache hints
-  double load = 0;
-  double usable_fraction = 1.0;  ///< of the worker that may be used
+  double load = 0;                  ///< 1 when full
+  double usable_fraction = 1.0;     ///< of the worker's capacity
 };
 
-/// @brief Knows the workers, their health and their caches.
+/// @brief Tracks the workers, their health and their prefix caches.
 class Router {
  public:
-  /// @param failure_domain where this host stands
+  /// @param failure_domain failure domain of this host
   explicit Router(FailureDomainId failure_domain);
 
-  /// @brief Takes a fleet document in; health and hints of workers that stay
-  /// are kept.
+  /// @brief Applies a fleet document. Workers that remain in it keep their
+  /// health and cache hints.
   void Configure(const FleetDocument& document);
 
-  /// @brief Orders the workers of a target.
+  /// @brief Ranks the workers of a target.
   /// @param candidates workers of the document, as from WorkersOf
   /// @param blocks hashes of the prompt's leading blocks
-  /// @param excluded workers that must not be named
-  /// @param load gives a worker's load, 1 being full
-  /// @return the nearest first; within a distance the cached prefix, then the
-  /// load decides
+  /// @param excluded workers that must not be returned
+  /// @param load returns a worker's load, 1 when full
+  /// @return available workers, by distance, then by load less cached prefix
   /// @note Complexity: n log n in the candidates.
   std::vector<RankedWorker> Rank(
       Instant now, const std::vector<UpstreamId>& candidates,
@@ -62,36 +61,38 @@
       const std::vector<UpstreamId>& excluded,
       const std::function<double(const UpstreamId&)>& load) const;
 
-  /// @brief Says whether any of the candidates takes new work.
-  /// @note Complexity: ends at the first that does.
+  /// @brief Checks whether any of the candidates takes new work.
+  /// @note Complexity: stops at the first that does.
   bool AnyAvailable(Instant now, const std::vector<UpstreamId>& candidates,
                     const std::vector<UpstreamId>& excluded) const;
 
-  /// @brief Gives a worker's health, to be told of signs.
+  /// @brief Returns the health of a worker, to record signals in.
   WorkerHealth& Health(const UpstreamId& worker);
 
-  /// @brief Takes a cache event in.
+  /// @brief Applies a cache event of a worker; see PrefixHints::ApplyEvent.
   void ApplyCacheEvent(const UpstreamId& worker, std::uint64_t sequence,
                        std::uint64_t block, bool present);
 
-  /// @return workers of a target in the document, in order of their names
+  /// @return workers of a target in the document, ordered by id
   const std::vector<UpstreamId>& WorkersOf(const std::string& target) const;
 
-  /// @return how far a worker of the document stands
+  /// @return distance of a worker; kOtherRegion if it is not in the document
   Distance DistanceTo(const UpstreamId& worker) const;
 
  private:
-  struct Known {
+  struct WorkerState {
     Distance distance = Distance::kOtherRegion;
     WorkerHealth health;
     PrefixHints prefixes;
   };
 
+  /// @return whether more than half of the workers are ejected; Rank then
+  /// ignores ejections
   bool IgnoreEjections(Instant now,
                        const std::vector<UpstreamId>& members) const;
 
   FailureDomainId failure_domain;
-  std::map<UpstreamId, Known> workers;
+  std::map<UpstreamId, WorkerState> workers;
   std::map<std::string, std::vector<UpstreamId>> targets;
 };
 
--- a/src/routing/load_table.cc
+++ b/src/routing/load_table.cc
@@ -5,40 +5,45 @@
 namespace limpetlink {
 namespace {
 
-// A report tells nothing of what other hosts do now once it is this old. An old
-// one is still nearer the truth than this host's own requests alone.
-constexpr Duration kReportLife = std::chrono::milliseconds(1500);
-constexpr Duration kMemoryReportLife = std::chrono::milliseconds(4000);
-// Keeps hosts that know the same from choosing the same of equal workers.
-constexpr double kRandomPartMs = 4.0;
-// Near candidates that are all compared, and how many of more are.
-constexpr std::size_t kComparedAll = 5;
-constexpr std::size_t kCompared = 2;
-// Weight of the newest attempt in a worker's share of failures.
-constexpr double kNewestFailure = 0.15;
-// What a worker that fails every attempt is counted to delay: a plain request
-// is tried again, a stream is lost.
+// A report older than this says nothing about the current requests of other
+// hosts. Memory usage is valid for longer: an old figure is still more accurate
+// than this host's own requests alone.
+constexpr Duration kReportLifetime = std::chrono::milliseconds(1500);
+constexpr Duration kMemoryReportLifetime = std::chrono::milliseconds(4000);
+// Random part of the score: keeps hosts with equal information from selecting
+// the same one of equal workers.
+constexpr double kRandomTieBreakMs = 4.0;
+// Up to kMaxUnsampled workers of the own failure domain are all compared; of
+// more, kSampleSize are.
+constexpr std::size_t kMaxUnsampled = 5;
+constexpr std::size_t kSampleSize = 2;
+// Weight of the latest attempt in a worker's failure rate.
+constexpr double kFailureRateGain = 0.15;
+// Delay added for a failure rate of 1: a plain request is retried, a stream is
+// lost.
 constexpr double kFailureMs = 150.0;
 constexpr double kEngineFailureMs = 1500.0;
-// Delay of a plain request at a worker whose slots are all taken.
-constexpr double kFullSlotsMs = 100.0;
-// An engine that reads prompts between the tokens of running streams takes
-// this long for each token of a prompt.
-constexpr double kReadMsPerToken = 0.14;
-// Memory beyond what the worker has is waited for until a stream ends, or
-// costs a running stream its place.
-constexpr double kNoRoomMsPerToken = 0.5;
-// Part of the memory that expected ends may fill; guesses are often too low.
-constexpr double kFullMemory = 0.95;
-// A full worker makes tokens more slowly and loses more when it leaves.
-constexpr double kMemoryMs = 250.0;
-// Memory that a request of another host is counted to hold.
+// Delay of a plain request at a worker whose slots are all in use.
+constexpr double kSlotOccupancyMs = 100.0;
+// Time that an engine needs for each prompt token when it interleaves prompt
+// processing with the decoding of running streams.
+constexpr double kPrefillMsPerToken = 0.14;
+// A request that exceeds the worker's memory waits until a stream ends, or
+// preempts a running stream.
+constexpr double kOverflowMsPerToken = 0.5;
+// Fraction of the memory that expected final sizes may fill; length hints are
+// often too low.
+constexpr double kUsableMemory = 0.95;
+// Delay at full memory: a full worker generates tokens more slowly and loses
+// more streams when it leaves.
+constexpr double kMemoryOccupancyMs = 250.0;
+// Assumed memory of a request of another host.
 constexpr double kOtherRequestTokens = 3000.0;
 // Round trips of a plain request to a worker farther away.
 constexpr double kOtherDomainMs = 10.0;
 constexpr double kOtherRegionMs = 60.0;
-// A stream farther away is harder to save when its worker leaves, and what is
-// known of the load there is older.
+// A stream farther away is harder to migrate when its worker leaves, and the
+// load information from there is older.
 constexpr double kEngineOtherDomainMs = 300.0;
 constexpr double kEngineOtherRegionMs = 900.0;
 
@@ -58,7 +63,7 @@
   sum->tokens += load.tokens;
 }
 
-void Take(const WorkerLoad& load, WorkerLoad* sum) {
+void Subtract(const WorkerLoad& load, WorkerLoad* sum) {
   sum->running -= load.running;
   sum->waiting -= load.waiting;
   sum->waiting_tokens -= load.waiting_tokens;
@@ -92,9 +97,9 @@
   entry.waiting_tokens += size.prompt_tokens;
   entry.tokens += size.tokens;
   if (size.tokens > 0) {
-    entry.begun.push_back({now, size.tokens});
-    while (now - entry.begun.front().at > kMemoryReportLife) {
-      entry.begun.pop_front();
+    entry.recent.push_back({now, size.tokens});
+    while (now - entry.recent.front().at > kMemoryReportLifetime) {
+      entry.recent.pop_front();
     }
   }
 }
@@ -125,40 +130,40 @@
 }
 
 void LoadTable::ApplyHostLoads(Instant /*now*/, const HostId& host,
-                               const std::vector<WorkerLoad>& shares) {
-  this->Replace(&this->told[host], shares);
+                               const std::vector<WorkerLoad>& loads) {
+  this->Replace(&this->loads_by_host[host], loads);
 }
 
 void LoadTable::RemoveHost(const HostId& host) {
-  this->Replace(&this->told[host], {});
-  this->told.erase(host);
+  this->Replace(&this->loads_by_host[host], {});
+  this->loads_by_host.erase(host);
 }
 
 void LoadTable::ApplyDomainLoads(Instant /*now*/, const FailureDomainId& domain,
                                  const std::vector<WorkerLoad>& loads) {
-  this->Replace(&this->told_by_domain[domain], loads);
+  this->Replace(&this->loads_by_domain[domain], loads);
 }
 
 void LoadTable::RemoveDomain(const FailureDomainId& domain) {
-  this->Replace(&this->told_by_domain[domain], {});
-  this->told_by_domain.erase(domain);
+  this->Replace(&this->loads_by_domain[domain], {});
+  this->loads_by_domain.erase(domain);
 }
 
-void LoadTable::Replace(LoadsByWorker* told,
+void LoadTable::Replace(LoadsByWorker* advertised,
                         const std::vector<WorkerLoad>& loads) {
-  for (const auto& [worker, load] : *told) {
-    const auto sum = this->others.find(worker);
-    if (sum == this->others.end()) {
-      continue;  // a row of zeros, whose sum went with the last other row
+  for (const auto& [worker, load] : *advertised) {
+    const auto sum = this->other_hosts.find(worker);
+    if (sum == this->other_hosts.end()) {
+      continue;  // an all-zero load whose sum was already erased
     }
-    Take(load, &sum->second);
+    Subtract(load, &sum->second);
     if (IsZero(sum->second)) {
-      this->others.erase(sum);
+      this->other_hosts.erase(sum);
     }
   }
-  *told = ByWorker(loads);
-  for (const auto& [worker, load] : *told) {
-    Add(load, &this->others[worker]);
+  *advertised = ByWorker(loads);
+  for (const auto& [worker, load] : *advertised) {
+    Add(load, &this->other_hosts[worker]);
   }
 }
 
@@ -183,7 +188,7 @@
   for (const WorkerLoad& load : this->LocalLoads()) {
     add(load);
   }
-  for (const auto& [host, by_worker] : this->told) {
+  for (const auto& [host, by_worker] : this->loads_by_host) {
     for (const auto& [worker, load] : by_worker) {
       add(load);
     }
@@ -196,27 +201,28 @@
   return loads;
 }
 
-WorkerLoad LoadTable::OthersAt(const UpstreamId& worker) const {
-  const auto found = this->others.find(worker);
-  return found == this->others.end() ? WorkerLoad{} : found->second;
+WorkerLoad LoadTable::OtherHostsLoadAt(const UpstreamId& worker) const {
+  const auto found = this->other_hosts.find(worker);
+  return found == this->other_hosts.end() ? WorkerLoad{} : found->second;
 }
 
-bool LoadTable::LoadTold(Instant now, const Entry& entry,
-                         const LoadCandidate& candidate) const {
+bool LoadTable::IsLoadKnown(Instant now, const Entry& entry,
+                            const LoadCandidate& candidate) const {
   const bool near = candidate.distance == Distance::kSameDomain;
-  return this->MemoryTold(now, entry) || (near && !this->told.empty()) ||
-         this->told_by_domain.count(candidate.domain) > 0;
+  return this->HasFreshMemoryReport(now, entry) ||
+         (near && !this->loads_by_host.empty()) ||
+         this->loads_by_domain.count(candidate.domain) > 0;
 }
 
 void LoadTable::ApplyReport(Instant now, const UpstreamId& worker,
                             const LoadReport& report) {
   Entry& entry = this->entries[worker];
-  const bool told_more = entry.reported &&
-                         entry.report.memory_tokens.has_value() &&
-                         !report.memory_tokens.has_value() &&
-                         now - entry.reported_at <= kMemoryReportLife;
-  if (told_more) {
-    return;  // the fuller report counts while it is fresh
+  const bool discards_memory = entry.reported &&
+                               entry.report.memory_tokens.has_value() &&
+                               !report.memory_tokens.has_value() &&
+                               now - entry.reported_at <= kMemoryReportLifetime;
+  if (discards_memory) {
+    return;  // keep the fresh report that has the memory usage
   }
   entry.report = report;
   entry.reported_at = now;
@@ -227,7 +233,8 @@
 void LoadTable::RecordAttempt(Instant now, const UpstreamId& worker,
                               bool failed, bool silent) {
   Entry& entry = this->entries[worker];
-  entry.failures += kNewestFailure * ((failed ? 1.0 : 0.0) - entry.failures);
+  entry.failure_rate +=
+      kFailureRateGain * ((failed ? 1.0 : 0.0) - entry.failure_rate);
   if (silent) {
     entry.health.RecordFailure(now, false);
   } else {
@@ -239,19 +246,20 @@
   this->entries.erase(worker);
 }
 
-bool LoadTable::MemoryTold(Instant now, const Entry& entry) const {
+bool LoadTable::HasFreshMemoryReport(Instant now, const Entry& entry) const {
   return entry.reported && entry.report.memory_tokens.has_value() &&
-         now - entry.reported_at <= kMemoryReportLife;
+         now - entry.reported_at <= kMemoryReportLifetime;
 }
 
-double LoadTable::UsualDelay(Instant now,
-                             const std::vector<LoadCandidate>& candidates,
-                             const RequestSize& size) {
+double LoadTable::MeanEngineDelay(Instant now,
+                                  const std::vector<LoadCandidate>& candidates,
+                                  const RequestSize& size) {
   double sum = 0;
   std::uint32_t count = 0;
   for (const LoadCandidate& candidate : candidates) {
     const Entry& entry = this->entries[candidate.worker];
-    if (candidate.memory_tokens > 0 && this->LoadTold(now, entry, candidate)) {
+    if (candidate.memory_tokens > 0 &&
+        this->IsLoadKnown(now, entry, candidate)) {
       sum += this->EngineDelay(now, entry, candidate, size);
       ++count;
     }
@@ -260,51 +268,56 @@
 }
 
 double LoadTable::ReportedMemory(Instant now, const Entry& entry) const {
-  if (!this->MemoryTold(now, entry)) {
+  if (!this->HasFreshMemoryReport(now, entry)) {
     return 0;
   }
   auto memory = static_cast<double>(*entry.report.memory_tokens);
-  const Instant told_at = entry.reported_at - entry.report.lag;
-  for (const Begun& begun : entry.begun) {
-    memory += begun.at >= told_at ? static_cast<double>(begun.tokens) : 0.0;
+  const Instant measured_at = entry.reported_at - entry.report.lag;
+  for (const RecentPlacement& placement : entry.recent) {
+    memory += placement.at >= measured_at
+                  ? static_cast<double>(placement.tokens)
+                  : 0.0;
   }
   return memory;
 }
 
 double LoadTable::SlotDelay(Instant now, const Entry& entry,
                             const LoadCandidate& candidate) const {
-  std::uint32_t others = this->OthersAt(candidate.worker).running;
-  const bool fresh = entry.reported && now - entry.reported_at <= kReportLife;
+  std::uint32_t others = this->OtherHostsLoadAt(candidate.worker).running;
+  const bool fresh =
+      entry.reported && now - entry.reported_at <= kReportLifetime;
   if (fresh) {
     const std::uint32_t all = entry.report.running + entry.report.waiting;
     others = std::max(others, all - std::min(all, entry.own_at_report));
   }
   const double slots = std::max(1U, candidate.slots);
-  return kFullSlotsMs * (entry.running + others + 1.0) / slots +
-         kFailureMs * entry.failures;
+  return kSlotOccupancyMs * (entry.running + others + 1.0) / slots +
+         kFailureMs * entry.failure_rate;
 }
 
 double LoadTable::EngineDelay(Instant now, const Entry& entry,
                               const LoadCandidate& candidate,
                               const RequestSize& size) const {
-  const WorkerLoad told = this->OthersAt(candidate.worker);
-  auto expected = static_cast<double>(entry.tokens + told.tokens);
-  std::uint32_t untold = 0;
-  const bool fresh = entry.reported && now - entry.reported_at <= kReportLife;
+  const WorkerLoad others = this->OtherHostsLoadAt(candidate.worker);
+  auto expected = static_cast<double>(entry.tokens + others.tokens);
+  std::uint32_t unaccounted = 0;
+  const bool fresh =
+      entry.reported && now - entry.reported_at <= kReportLifetime;
   if (fresh) {
     const std::uint32_t all = entry.report.running + entry.report.waiting;
-    const std::uint32_t known = entry.own_at_report + told.running;
-    untold = all - std::min(all, known);
+    const std::uint32_t known = entry.own_at_report + others.running;
+    unaccounted = all - std::min(all, known);
   }
-  expected += kOtherRequestTokens * untold;
+  expected += kOtherRequestTokens * unaccounted;
   expected = std::max(expected, this->ReportedMemory(now, entry)) +
              static_cast<double>(size.tokens);
   const auto memory = static_cast<double>(candidate.memory_tokens);
-  const double beyond = std::max(0.0, expected - kFullMemory * memory);
-  const auto to_read = static_cast<double>(
-      entry.waiting_tokens + told.waiting_tokens + size.prompt_tokens);
-  return kReadMsPerToken * to_read + kNoRoomMsPerToken * beyond +
-         kMemoryMs * expected / memory + kEngineFailureMs * entry.failures;
+  const double overflow = std::max(0.0, expected - kUsableMemory * memory);
+  const auto prefill_tokens = static_cast<double>(
+      entry.waiting_tokens + others.waiting_tokens + size.prompt_tokens);
+  return kPrefillMsPerToken * prefill_tokens + kOverflowMsPerToken * overflow +
+         kMemoryOccupancyMs * expected / memory +
+         kEngineFailureMs * entry.failure_rate;
 }
 
 std::vector<LoadCandidate> LoadTable::Sample(
@@ -313,23 +326,23 @@
     return candidate.distance == Distance::kSameDomain;
   };
   const auto far = std::partition(candidates.begin(), candidates.end(), near);
-  std::size_t left = static_cast<std::size_t>(far - candidates.begin());
-  if (left <= kComparedAll || !this->told.empty()) {
+  std::size_t near_count = static_cast<std::size_t>(far - candidates.begin());
+  if (near_count <= kMaxUnsampled || !this->loads_by_host.empty()) {
     return candidates;
   }
-  // The sample is moved to the front, then the rest of the near ones dropped.
-  for (std::size_t i = 0; i < kCompared; ++i) {
-    const std::size_t other = i + this->random.Below(left - i);
+  // Moves the sample to the front, then drops the other near candidates.
+  for (std::size_t i = 0; i < kSampleSize; ++i) {
+    const std::size_t other = i + this->random.Below(near_count - i);
     std::swap(candidates[i], candidates[other]);
   }
-  candidates.erase(candidates.begin() + kCompared, far);
+  candidates.erase(candidates.begin() + kSampleSize, far);
   return candidates;
 }
 
 std::optional<LoadChoice> LoadTable::Choose(
     Instant now, std::vector<LoadCandidate> candidates,
     const RequestSize& size) {
-  const double usual = this->UsualDelay(now, candidates, size);
+  const double mean_delay = this->MeanEngineDelay(now, candidates, size);
   candidates = this->Sample(std::move(candidates));
   std::optional<LoadChoice> best;
   double best_score = 0;
@@ -339,11 +352,11 @@
     const bool engine = candidate.memory_tokens > 0;
     double delay = engine ? this->EngineDelay(now, entry, candidate, size)
                           : this->SlotDelay(now, entry, candidate);
-    if (engine && !this->LoadTold(now, entry, candidate)) {
-      delay = std::max(delay, usual);
+    if (engine && !this->IsLoadKnown(now, entry, candidate)) {
+      delay = std::max(delay, mean_delay);
     }
     delay += DistanceMs(candidate.distance, engine);
-    const double score = delay + kRandomPartMs * this->random.Fraction();
+    const double score = delay + kRandomTieBreakMs * this->random.Fraction();
     const bool ejected = entry.health.Ejected(now);
     const bool better = !best.has_value() || (best_ejected && !ejected) ||
                         (ejected == best_ejected && score < best_score);
@@ -353,7 +366,7 @@
     best_score = score;
     best_ejected = ejected;
     best = LoadChoice{candidate.worker, delay, entry.running,
-                      this->OthersAt(candidate.worker), std::nullopt};
+                      this->OtherHostsLoadAt(candidate.worker), std::nullopt};
     if (entry.reported) {
       best->report_age = now - entry.reported_at;
     }
--- a/src/routing/prefixes.cc
+++ b/src/routing/prefixes.cc
@@ -9,19 +9,19 @@
 
 void PrefixHints::ApplyEvent(std::uint64_t sequence, std::uint64_t block,
                              bool present) {
-  const bool restarted = sequence == 1 && this->last > 1;
-  if (sequence <= this->last && !restarted) {
+  const bool restarted = sequence == 1 && this->last_sequence > 1;
+  if (sequence <= this->last_sequence && !restarted) {
     return;
   }
-  const bool gap = restarted || sequence != this->last + 1;
-  this->last = sequence;
+  const bool gap = restarted || sequence != this->last_sequence + 1;
+  this->last_sequence = sequence;
   if (gap) {
-    this->held.clear();
+    this->cached.clear();
   }
   if (!present) {
-    this->held.erase(block);
-  } else if (this->held.size() < kMaxBlocks) {
-    this->held.insert(block);
+    this->cached.erase(block);
+  } else if (this->cached.size() < kMaxBlocks) {
+    this->cached.insert(block);
   }
 }
 
@@ -29,7 +29,7 @@
     const std::vector<std::uint64_t>& blocks) const {
   std::uint32_t count = 0;
   for (const std::uint64_t block : blocks) {
-    if (this->held.count(block) == 0) {
+    if (this->cached.count(block) == 0) {
       break;
     }
     ++count;
--- a/src/routing/router.cc
+++ b/src/routing/router.cc
@@ -9,7 +9,7 @@
 
 const std::vector<UpstreamId> kNoWorkers;
 
-constexpr double kLoadSteps = 8;  // loads nearer than 1/8 count as equal
+constexpr double kLoadSteps = 8;  // loads are compared in steps of 1/8
 
 std::string RegionOf(const FleetDocument& document, const FailureDomainId& id) {
   for (const FailureDomain& domain : document.failure_domains) {
@@ -20,15 +20,16 @@
   return {};
 }
 
-// The cache saves reading a prompt, but not at the price of a crowded worker.
-double Cost(const RankedWorker& worker) {
+// A cached prefix saves prompt processing but must not outweigh the load of a
+// crowded worker.
+double RankingCost(const RankedWorker& worker) {
   const double cached = std::min(worker.cached_tokens, 1024U) / 1024.0;
   return std::floor(worker.load * kLoadSteps) / kLoadSteps - cached;
 }
 
-bool Before(const RankedWorker& a, const RankedWorker& b) {
-  const double cost_a = Cost(a);
-  const double cost_b = Cost(b);
+bool RanksBefore(const RankedWorker& a, const RankedWorker& b) {
+  const double cost_a = RankingCost(a);
+  const double cost_b = RankingCost(b);
   return std::tie(a.distance, cost_a, a.load, a.worker) <
          std::tie(b.distance, cost_b, b.load, b.worker);
 }
@@ -39,26 +40,27 @@
     : failure_domain(std::move(failure_domain)) {}
 
 void Router::Configure(const FleetDocument& document) {
-  std::map<UpstreamId, Known> kept;
+  std::map<UpstreamId, WorkerState> retained;
   this->targets.clear();
   const std::string own_region = RegionOf(document, this->failure_domain);
   for (const Upstream& upstream : document.upstreams) {
     const auto it = this->workers.find(upstream.id);
-    Known known = it == this->workers.end() ? Known{} : std::move(it->second);
+    WorkerState state =
+        it == this->workers.end() ? WorkerState{} : std::move(it->second);
     if (upstream.failure_domain == this->failure_domain) {
-      known.distance = Distance::kSameDomain;
+      state.distance = Distance::kSameDomain;
     } else {
       const bool same =
           RegionOf(document, upstream.failure_domain) == own_region;
-      known.distance = same ? Distance::kSameRegion : Distance::kOtherRegion;
+      state.distance = same ? Distance::kSameRegion : Distance::kOtherRegion;
     }
-    kept.emplace(upstream.id, std::move(known));
+    retained.emplace(upstream.id, std::move(state));
     this->targets[upstream.serves].push_back(upstream.id);
   }
   for (auto& [target, members] : this->targets) {
     std::sort(members.begin(), members.end());
   }
-  this->workers = std::move(kept);
+  this->workers = std::move(retained);
 }
 
 bool Router::IgnoreEjections(Instant now,
@@ -79,35 +81,35 @@
   std::vector<RankedWorker> ranked;
   ranked.reserve(candidates.size());
   for (const UpstreamId& member : candidates) {
-    const Known& known = this->workers.at(member);
-    const bool barred =
+    const WorkerState& state = this->workers.at(member);
+    const bool is_excluded =
         std::find(excluded.begin(), excluded.end(), member) != excluded.end();
-    const bool ejected = known.health.Ejected(now) && !ignore_ejections;
-    if (barred || ejected || known.health.IsLeaving(now)) {
+    const bool ejected = state.health.Ejected(now) && !ignore_ejections;
+    if (is_excluded || ejected || state.health.IsLeaving(now)) {
       continue;
     }
     RankedWorker worker;
     worker.worker = member;
-    worker.distance = known.distance;
+    worker.distance = state.distance;
     worker.cached_tokens =
-        known.prefixes.CountLeading(blocks) * kPrefixBlockTokens;
+        state.prefixes.CountLeading(blocks) * kPrefixBlockTokens;
     worker.load = load(member);
-    worker.usable_fraction = known.health.UsableFraction(now);
+    worker.usable_fraction = state.health.UsableFraction(now);
     ranked.push_back(std::move(worker));
   }
-  std::sort(ranked.begin(), ranked.end(), Before);
+  std::sort(ranked.begin(), ranked.end(), RanksBefore);
   return ranked;
 }
 
 bool Router::AnyAvailable(Instant now,
                           const std::vector<UpstreamId>& candidates,
                           const std::vector<UpstreamId>& excluded) const {
-  const auto open = [&](const UpstreamId& id) {
-    const bool barred =
+  const auto is_available = [&](const UpstreamId& id) {
+    const bool is_excluded =
         std::find(excluded.begin(), excluded.end(), id) != excluded.end();
-    return !barred && !this->workers.at(id).health.IsLeaving(now);
+    return !is_excluded && !this->workers.at(id).health.IsLeaving(now);
   };
-  return std::any_of(candidates.begin(), candidates.end(), open);
+  return std::any_of(candidates.begin(), candidates.end(), is_available);
 }
 
 WorkerHealth& Router::Health(const UpstreamId& worker) {
--- a/src/routing/routing.h
+++ b/src/routing/routing.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which workers may get a request, and in which order they are tried.
+/// @brief Selects and ranks the workers that may receive a request.
 #pragma once
 
 #include "routing/detail/health.h"
--- a/src/routing/tests/load_table_test.cc
+++ b/src/routing/tests/load_table_test.cc
@@ -10,8 +10,8 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::uint64_t kMemory = 27000;
-constexpr Duration kMessage = milliseconds(16);
+constexpr std::uint64_t kMemoryTokens = 27000;
+constexpr Duration kMessageDelay = milliseconds(16);
 
 LoadCandidate Engine(const std::string& name,
                      Distance distance = Distance::kSameDomain) {
@@ -19,7 +19,7 @@
   candidate.worker = UpstreamId{name};
   candidate.distance = distance;
   candidate.slots = 24;
-  candidate.memory_tokens = kMemory;
+  candidate.memory_tokens = kMemoryTokens;
   return candidate;
 }
 
@@ -27,20 +27,20 @@
   return {prompt, prompt + output};
 }
 
-/// @brief An engine that reads one prompt after the other and keeps streams in
-/// memory until they end.
+/// @brief Simulates an engine that processes one prompt at a time and keeps
+/// streams in memory until they end.
 struct EngineModel {
   struct Run {
     RequestSize size;
     Instant arrived{};
     std::size_t host = 0;
-    Instant first{};
+    Instant first_byte{};
     Instant end{};
   };
 
   std::deque<Run> waiting;
   std::vector<Run> running;
-  Instant reads_until{};
+  Instant prefill_until{};
 
   std::uint64_t Memory() const {
     std::uint64_t sum = 0;
@@ -51,10 +51,10 @@
   }
 };
 
-/// @brief Hosts that place streams on the engines of one failure domain and
-/// tell each other after each change.
-struct PlacementWorld {
-  PlacementWorld(std::size_t hosts, std::size_t engines)
+/// @brief Simulates hosts that place streams on the engines of one failure
+/// domain and advertise their loads to each other after each change.
+struct PlacementSimulation {
+  PlacementSimulation(std::size_t hosts, std::size_t engines)
       : engines(engines), random(5) {
     for (std::size_t i = 0; i < hosts; ++i) {
       this->tables.emplace_back(i + 1);
@@ -64,12 +64,12 @@
     }
   }
 
-  void Tell(std::size_t from) {
-    this->told.push_back(
-        {this->now + kMessage, from, this->tables[from].LocalLoads()});
+  void Advertise(std::size_t from) {
+    this->messages.push_back(
+        {this->now + kMessageDelay, from, this->tables[from].LocalLoads()});
   }
 
-  void Arrive(std::size_t host, const RequestSize& size) {
+  void PlaceStream(std::size_t host, const RequestSize& size) {
     const std::optional<LoadChoice> choice =
         this->tables[host].Choose(this->now, this->candidates, size);
     REQUIRE(choice.has_value());
@@ -79,21 +79,21 @@
         this->engines[i].waiting.push_back({size, this->now, host, {}, {}});
       }
     }
-    this->Tell(host);
+    this->Advertise(host);
   }
 
-  /// @brief Lets a millisecond pass.
+  /// @brief Advances the simulation by one millisecond.
   void Step() {
     this->now += milliseconds(1);
-    while (!this->told.empty() && this->told.front().due <= this->now) {
-      const Told& message = this->told.front();
+    while (!this->messages.empty() && this->messages.front().due <= this->now) {
+      const Message& message = this->messages.front();
       for (std::size_t i = 0; i < this->tables.size(); ++i) {
         if (i != message.from) {
           this->tables[i].ApplyHostLoads(
               this->now, HostId{std::to_string(message.from)}, message.loads);
         }
       }
-      this->told.pop_front();
+      this->messages.pop_front();
     }
     for (std::size_t i = 0; i < this->engines.size(); ++i) {
       this->StepEngine(i);
@@ -101,55 +101,56 @@
   }
 
   void StepEngine(std::size_t index) {
-    constexpr double kReadMs = 0.14;
-    constexpr double kTokenMs = 8.5;
+    constexpr double kPrefillMsPerToken = 0.14;
+    constexpr double kDecodeMsPerToken = 8.5;
     EngineModel& engine = this->engines[index];
     const UpstreamId& worker = this->candidates[index].worker;
     for (std::size_t i = 0; i < engine.running.size();) {
       EngineModel::Run& run = engine.running[i];
-      if (run.first == this->now) {
+      if (run.first_byte == this->now) {
         this->tables[run.host].RecordFirstByte(worker, run.size);
-        this->first_ms.push_back(ToSeconds(run.first - run.arrived) * 1000.0);
-        this->Tell(run.host);
+        this->first_byte_ms.push_back(ToSeconds(run.first_byte - run.arrived) *
+                                      1000.0);
+        this->Advertise(run.host);
       }
       if (run.end > this->now) {
         ++i;
         continue;
       }
       this->tables[run.host].End(this->now, worker, run.size, true);
-      this->Tell(run.host);
+      this->Advertise(run.host);
       engine.running.erase(engine.running.begin() +
                            static_cast<std::ptrdiff_t>(i));
     }
-    const bool reads =
-        !engine.waiting.empty() && engine.reads_until <= this->now &&
-        engine.Memory() + engine.waiting.front().size.tokens <= kMemory;
-    if (!reads) {
+    const bool starts_next =
+        !engine.waiting.empty() && engine.prefill_until <= this->now &&
+        engine.Memory() + engine.waiting.front().size.tokens <= kMemoryTokens;
+    if (!starts_next) {
       return;
     }
     EngineModel::Run run = engine.waiting.front();
     engine.waiting.pop_front();
-    const auto read_ms = static_cast<std::int64_t>(
-        kReadMs * static_cast<double>(run.size.prompt_tokens));
-    const auto run_ms = static_cast<std::int64_t>(
-        kTokenMs *
+    const auto prefill_ms = static_cast<std::int64_t>(
+        kPrefillMsPerToken * static_cast<double>(run.size.prompt_tokens));
+    const auto decode_ms = static_cast<std::int64_t>(
+        kDecodeMsPerToken *
         static_cast<double>(run.size.tokens - run.size.prompt_tokens));
-    run.first = this->now + milliseconds(read_ms);
-    run.end = run.first + milliseconds(run_ms);
-    engine.reads_until = run.first;
+    run.first_byte = this->now + milliseconds(prefill_ms);
+    run.end = run.first_byte + milliseconds(decode_ms);
+    engine.prefill_until = run.first_byte;
     engine.running.push_back(run);
   }
 
-  /// @return the part of first bytes that came later than this
-  double PartLaterThan(double limit_ms) const {
+  /// @return fraction of streams whose first byte took longer than this
+  double FractionLaterThan(double limit_ms) const {
     double late = 0;
-    for (const double each : this->first_ms) {
+    for (const double each : this->first_byte_ms) {
       late += each > limit_ms ? 1.0 : 0.0;
     }
-    return late / static_cast<double>(this->first_ms.size());
+    return late / static_cast<double>(this->first_byte_ms.size());
   }
 
-  struct Told {
+  struct Message {
     Instant due{};
     std::size_t from = 0;
     std::vector<WorkerLoad> loads;
@@ -158,8 +159,8 @@
   std::vector<LoadTable> tables;
   std::vector<LoadCandidate> candidates;
   std::vector<EngineModel> engines;
-  std::deque<Told> told;
-  std::vector<double> first_ms;
+  std::deque<Message> messages;
+  std::vector<double> first_byte_ms;
   Instant now{};
   Random random;
 };
@@ -167,8 +168,8 @@
 }  // namespace
 
 TEST_CASE(
-    "load table, a prompt is being read at the emptier engine, the next goes "
-    "where nothing is read") {
+    "load table, the emptier engine is processing a prompt, selects the one "
+    "that processes none") {
   LoadTable table(1);
   const Instant now{};
   const RequestSize size = Stream(3000, 800);
@@ -184,8 +185,8 @@
 }
 
 TEST_CASE(
-    "load table, streams will fill an engine's memory, the next goes where "
-    "there is room though a prompt is read there") {
+    "load table, streams will fill an engine's memory, selects the one with "
+    "free memory although it processes a prompt") {
   LoadTable table(1);
   const Instant now{};
   const RequestSize size = Stream(3000, 800);
@@ -201,8 +202,8 @@
 }
 
 TEST_CASE(
-    "load table, other hosts' prompts wait at a near engine, a farther one is "
-    "taken") {
+    "load table, other hosts' prompts wait at a near engine, selects a farther "
+    "one") {
   LoadTable table(1);
   const Instant now{};
   const RequestSize size = Stream(3000, 800);
@@ -218,8 +219,8 @@
 }
 
 TEST_CASE(
-    "load table, the near application worker fails half its requests, plain "
-    "requests go farther") {
+    "load table, the near application worker fails half its requests, selects "
+    "a farther one") {
   LoadTable table(1);
   const Instant now{};
   LoadCandidate near;
@@ -236,8 +237,8 @@
 }
 
 TEST_CASE(
-    "load table, the near application worker's slots are all taken, a plain "
-    "request goes to another domain of the region") {
+    "load table, the near application worker's slots are all in use, selects "
+    "one in another domain of the region") {
   LoadTable table(1);
   const Instant now{};
   LoadCandidate near;
@@ -253,12 +254,12 @@
 }
 
 TEST_CASE(
-    "load table, hosts and domains tell, change and fall silent, the sums "
-    "follow") {
+    "load table, hosts and domains advertise, change and are removed, updates "
+    "the sums") {
   LoadTable table(1);
   const Instant now{};
   const UpstreamId worker{"w"};
-  const auto told = [&] {
+  const auto other_hosts = [&] {
     const std::optional<LoadChoice> choice =
         table.Choose(now, {Engine("w")}, Stream(1000, 10));
     return choice->other_hosts;
@@ -266,45 +267,45 @@
   table.ApplyHostLoads(now, HostId{"a"}, {{worker, 2, 1, 3000, 7600}});
   table.ApplyHostLoads(now, HostId{"b"}, {{worker, 0, 0, 0, 0}});
   table.ApplyDomainLoads(now, FailureDomainId{"d"}, {{worker, 1, 0, 0, 3800}});
-  CHECK(told().running == 3);
-  CHECK(told().tokens == 11400);
+  CHECK(other_hosts().running == 3);
+  CHECK(other_hosts().tokens == 11400);
   table.ApplyHostLoads(now, HostId{"a"}, {{worker, 1, 0, 0, 3800}});
-  CHECK(told().running == 2);
-  CHECK(told().waiting_tokens == 0);
+  CHECK(other_hosts().running == 2);
+  CHECK(other_hosts().waiting_tokens == 0);
   table.RemoveDomain(FailureDomainId{"d"});
   table.RemoveHost(HostId{"a"});
-  CHECK(told().running == 0);
+  CHECK(other_hosts().running == 0);
   table.ApplyHostLoads(now, HostId{"b"}, {{worker, 4, 4, 100, 200}});
-  CHECK(told().running == 4);
+  CHECK(other_hosts().running == 4);
   table.RemoveHost(HostId{"unknown"});
   table.RemoveHost(HostId{"b"});
-  CHECK(told().running == 0);
+  CHECK(other_hosts().running == 0);
 }
 
 TEST_CASE(
     "load table, a dozen hosts fill two thirds of a failure domain's memory, "
-    "few first bytes are late") {
-  // Long and short streams of a crowded failure domain: 12 hosts, 7 engines,
-  // four long and four and a half short ones a second.
-  PlacementWorld world(12, 7);
+    "few first bytes take over 1.5 s") {
+  // Long and short streams in a crowded failure domain: 12 hosts, 7 engines,
+  // 4 long and 4.5 short streams per second.
+  PlacementSimulation simulation(12, 7);
   Instant next_long{};
   Instant next_short{};
-  while (world.now < Instant{} + std::chrono::seconds(40)) {
-    if (next_long <= world.now) {
-      world.Arrive(world.random.Below(12),
-                   Stream(2000 + world.random.Below(2000),
-                          300 + world.random.Below(900)));
-      next_long += milliseconds(50 + world.random.Below(400));
+  while (simulation.now < Instant{} + std::chrono::seconds(40)) {
+    if (next_long <= simulation.now) {
+      simulation.PlaceStream(simulation.random.Below(12),
+                             Stream(2000 + simulation.random.Below(2000),
+                                    300 + simulation.random.Below(900)));
+      next_long += milliseconds(50 + simulation.random.Below(400));
     }
-    if (next_short <= world.now) {
-      world.Arrive(world.random.Below(12),
-                   Stream(1200 + world.random.Below(2000), 12));
-      next_short += milliseconds(44 + world.random.Below(360));
+    if (next_short <= simulation.now) {
+      simulation.PlaceStream(simulation.random.Below(12),
+                             Stream(1200 + simulation.random.Below(2000), 12));
+      next_short += milliseconds(44 + simulation.random.Below(360));
     }
-    world.Step();
+    simulation.Step();
   }
-  REQUIRE(world.first_ms.size() > 250);
-  CHECK(world.PartLaterThan(1500.0) < 0.02);
+  REQUIRE(simulation.first_byte_ms.size() > 250);
+  CHECK(simulation.FractionLaterThan(1500.0) < 0.02);
 }
 
 }  // namespace limpetlink
--- a/src/routing/tests/routing_test.cc
+++ b/src/routing/tests/routing_test.cc
@@ -9,13 +9,12 @@
   return Instant{std::chrono::seconds(seconds)};
 }
 
-TEST_CASE("prefix hints, gap in the sequence, every hint is cleared",
-          "[routing]") {
+TEST_CASE("prefix hints, gap in the sequence, clears all hints", "[routing]") {
   PrefixHints hints;
   hints.ApplyEvent(1, 11, true);
   hints.ApplyEvent(2, 12, true);
   CHECK(hints.CountLeading({11, 12, 13}) == 2);
-  SECTION("a repeat changes nothing") {
+  SECTION("a repeated event is ignored") {
     hints.ApplyEvent(2, 12, false);
     CHECK(hints.CountLeading({11, 12}) == 2);
   }
@@ -30,7 +29,7 @@
   }
 }
 
-TEST_CASE("worker health, three failures, is ejected and returns slowly",
+TEST_CASE("worker health, three failures, is ejected and starts slowly",
           "[routing]") {
   WorkerHealth health;
   for (int i = 0; i < 3; ++i) {
@@ -42,7 +41,7 @@
   CHECK(health.UsableFraction(At(6)) == Approx(0.1));
   CHECK(health.UsableFraction(At(21)) == Approx(0.5));
   CHECK(health.UsableFraction(At(36)) == Approx(1.0));
-  SECTION("fails again on return, is out for longer") {
+  SECTION("fails again in the slow start, is ejected for longer") {
     for (int i = 0; i < 3; ++i) {
       health.RecordFailure(At(7), false);
     }
@@ -51,7 +50,7 @@
   }
 }
 
-TEST_CASE("worker health, gone from the list, no report clears it",
+TEST_CASE("worker health, gone from the list, a report alone does not clear it",
           "[routing]") {
   WorkerHealth health;
   health.MarkLeaving(At(1), true);
@@ -63,8 +62,9 @@
   CHECK_FALSE(health.IsLeaving(At(12)));
 }
 
-TEST_CASE("router, most workers are ejected, they are used all the same",
-          "[routing]") {
+TEST_CASE(
+    "router, more than half of the workers are ejected, ignores ejections",
+    "[routing]") {
   FleetDocument document;
   document.failure_domains = {{FailureDomainId{"d"}, "r"}};
   for (const char* id : {"a", "b", "c"}) {
