--- a/src/limits/detail/fair_share.h
+++ b/src/limits/detail/fair_share.h
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Virtual token counters: which organisation is served next.
+/// @brief FairShare: weighted fair queuing of organisations by virtual token
+/// counters.
 #pragma once
 
 #include <map>
@@ -10,25 +11,26 @@
 
 namespace limpetlink {
 
-/// @brief Counts the service each organisation has got, divided by its weight.
+/// @brief Counts the tokens that each organisation used, divided by its weight.
 class FairShare {
  public:
   /// @brief Sets an organisation's weight.
   /// @param weight above 0
   void SetWeight(const OrganisationId& organisation, double weight);
 
-  /// @brief An organisation begins to wait after it had nothing waiting: it is
-  /// lifted to the least counter of the waiting ones, so that idle time saves
-  /// up no claim.
+  /// @brief Activates an organisation whose queue was empty. Raises its counter
+  /// to the lowest of the waiting organisations, so that idle time accumulates
+  /// no credit.
+  /// @param waiting organisations with queued requests
   void Activate(const OrganisationId& organisation,
                 const std::vector<OrganisationId>& waiting);
 
-  /// @brief Charges service.
+  /// @brief Charges an organisation for service.
   /// @param tokens prompt and output tokens; may be negative to correct an
   /// earlier estimate
   void Charge(const OrganisationId& organisation, double tokens);
 
-  /// @brief Orders organisations, the least served first.
+  /// @brief Sorts organisations by counter, the lowest first.
   /// @note Complexity: n log n in the organisations given.
   std::vector<OrganisationId> Order(
       const std::vector<OrganisationId>& waiting) const;
@@ -37,12 +39,12 @@
   double Counter(const OrganisationId& organisation) const;
 
  private:
-  struct Account {
+  struct ServiceCounter {
     double counter = 0;
     double weight = 1.0;
   };
 
-  std::map<OrganisationId, Account> accounts;
+  std::map<OrganisationId, ServiceCounter> counters;
 };
 
 }  // namespace limpetlink
--- a/src/limits/detail/host_limit.h
+++ b/src/limits/detail/host_limit.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One host's part of an organisation's limits.
+/// @brief HostLimit: one host's share of an organisation's limits.
 #pragma once
 
 #include <cstdint>
@@ -9,13 +9,13 @@
 
 namespace limpetlink {
 
-/// @brief A host's part of a limit.
+/// @brief Concurrency and rate of a limit or of one host's share of it.
 struct LimitShare {
-  double concurrent = 0;
-  double per_second = 0;
+  double concurrent = 0;  ///< requests in progress
+  double per_second = 0;  ///< requests started per second
 };
 
-/// @brief Which limit stands against a request.
+/// @brief Whether a request is within the limits, else which one it exceeds.
 enum class LimitDecision { kWithin, kConcurrency, kRate };
 
 template <>
@@ -26,41 +26,42 @@
       {LimitDecision::kRate, "rate"}};
 };
 
-/// @brief Enforces a host's part: the owner's share while it is fresh, else
-/// the limit divided by the hosts.
+/// @brief Enforces a host's share of a limit: the share granted by the limit's
+/// owner until it expires, then the limit divided by the number of hosts.
 class HostLimit {
  public:
-  /// @brief Sets the whole limit and the number of hosts it falls back on.
+  /// @brief Sets the total limit and the number of hosts, whose quotient is the
+  /// fallback share.
   void SetTotal(const LimitShare& total, std::size_t hosts);
 
-  /// @brief Takes the owner's share in.
-  /// @param until the share holds up to then
+  /// @brief Applies a share granted by the limit's owner.
+  /// @param until when the share expires
   void Grant(const LimitShare& share, Instant until);
 
-  /// @brief Counts a request in when it is within the limits.
-  /// @param again whether it is a repeat, which the rate has counted already
-  LimitDecision Begin(Instant now, bool again = false);
+  /// @brief Starts a request if it is within the limits.
+  /// @param is_retry whether the rate has already counted the request
+  LimitDecision Begin(Instant now, bool is_retry = false);
 
-  /// @brief Counts a request out.
-  /// @param held how long it was in progress
-  void End(Duration held);
+  /// @brief Ends a request.
+  /// @param duration how long it was in progress
+  void End(Duration duration);
 
-  /// @brief Says when the limit that refused lets the next request in.
-  /// @param answer which limit it was
-  Duration RetryAfter(LimitDecision answer, Instant now) const;
+  /// @brief Estimates the time until the exceeded limit admits a request.
+  /// @param decision the limit that was exceeded
+  Duration RetryAfter(LimitDecision decision, Instant now) const;
 
-  /// @return whether more than half of the fallback part is in use, so that
-  /// the owner should be asked
+  /// @return whether more than half of the fallback share is in use, so that
+  /// a share should be requested from the limit's owner
   bool ShouldRequestShare(Instant now) const;
 
-  /// @brief Gives what this host asks of the owner: its own use, a little
-  /// more, over the time since the last call.
+  /// @brief Returns and resets this host's demand since the last call: the
+  /// peak concurrency and the arrival rate, refused requests included.
   LimitShare TakeDemand(Instant now);
 
   /// @return requests in progress
   std::uint32_t InProgress() const { return this->in_progress; }
 
-  /// @return the part in force
+  /// @return the share that applies now
   LimitShare Current(Instant now) const;
 
  private:
@@ -70,13 +71,13 @@
   std::optional<LimitShare> granted;
   Instant granted_until;
   std::uint32_t in_progress = 0;
-  std::uint32_t peak = 0;
-  std::uint32_t arrivals = 0;
+  std::uint32_t peak = 0;      ///< of concurrency, since counted_since
+  std::uint32_t arrivals = 0;  ///< since counted_since
   Instant counted_since;
-  double allowance = 0;  ///< requests that may start now
+  double allowance = 0;  ///< token bucket: requests that may start now
   Instant refilled;
   bool started = false;
-  double mean_held = 1.0;  ///< seconds
+  double mean_duration_s = 1.0;  ///< moving average
 };
 
 }  // namespace limpetlink
--- a/src/limits/detail/share_owner.h
+++ b/src/limits/detail/share_owner.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Splits an organisation's limits over the hosts that use them.
+/// @brief ShareAllocator: divides an organisation's limits among the hosts.
 #pragma once
 
 #include <map>
@@ -8,34 +8,36 @@
 
 namespace limpetlink {
 
-/// @brief Kept by the host that owns an organisation's limits.
+/// @brief Allocates shares of an organisation's limits to hosts by their
+/// demand; used by the host that owns the limits.
 class ShareAllocator {
  public:
-  /// @brief Sets the whole limit and the number of hosts.
+  /// @brief Sets the total limit and the number of hosts.
   void SetTotal(const LimitShare& new_total, std::size_t new_hosts);
 
-  /// @brief Takes a host's wants in and hands it a share.
-  /// @param from the host that asks
-  /// @param wanted what it used or was asked for lately
-  /// @return its share; the shares handed out for one time never sum to more
-  /// than the limit, but for the one request each host may always run
-  /// @note Complexity: linear in the hosts that asked lately.
-  LimitShare Allocate(Instant now, const HostId& from,
-                      const LimitShare& wanted);
+  /// @brief Records a host's demand and allocates a share to it.
+  /// @param host the requesting host
+  /// @param demand its recent usage, refused requests included
+  /// @return its share, valid for kShareLifetime; the shares valid at one time
+  /// never sum to more than the limit, apart from the one request that each
+  /// host may always run
+  /// @note Complexity: linear in the hosts with a valid share.
+  LimitShare Allocate(Instant now, const HostId& host,
+                      const LimitShare& demand);
 
  private:
-  struct Claim {
-    LimitShare wanted;
-    LimitShare handed;
+  struct Allocation {
+    LimitShare demand;
+    LimitShare allocated;
     Instant until;
   };
 
   LimitShare total;
   std::size_t hosts = 1;
-  std::map<HostId, Claim> claims;
+  std::map<HostId, Allocation> allocations;
 };
 
-/// @brief How long a share holds.
+/// @brief How long an allocated share is valid.
 inline constexpr Duration kShareLifetime = std::chrono::seconds(6);
 
 }  // namespace limpetlink
--- a/src/limits/fair_share.cc
+++ b/src/limits/fair_share.cc
@@ -5,27 +5,27 @@
 namespace limpetlink {
 
 void FairShare::SetWeight(const OrganisationId& organisation, double weight) {
-  this->accounts[organisation].weight = weight;
+  this->counters[organisation].weight = weight;
 }
 
 void FairShare::Activate(const OrganisationId& organisation,
                          const std::vector<OrganisationId>& waiting) {
-  std::optional<double> least;
+  std::optional<double> lowest;
   for (const OrganisationId& other : waiting) {
     const double counter = this->Counter(other);
-    if (other != organisation && (!least || counter < *least)) {
-      least = counter;
+    if (other != organisation && (!lowest || counter < *lowest)) {
+      lowest = counter;
     }
   }
-  Account& account = this->accounts[organisation];
-  if (least) {
-    account.counter = std::max(account.counter, *least);
+  ServiceCounter& entry = this->counters[organisation];
+  if (lowest) {
+    entry.counter = std::max(entry.counter, *lowest);
   }
 }
 
 void FairShare::Charge(const OrganisationId& organisation, double tokens) {
-  Account& account = this->accounts[organisation];
-  account.counter += tokens / account.weight;
+  ServiceCounter& entry = this->counters[organisation];
+  entry.counter += tokens / entry.weight;
 }
 
 std::vector<OrganisationId> FairShare::Order(
@@ -41,8 +41,8 @@
 }
 
 double FairShare::Counter(const OrganisationId& organisation) const {
-  const auto it = this->accounts.find(organisation);
-  return it == this->accounts.end() ? 0.0 : it->second.counter;
+  const auto it = this->counters.find(organisation);
+  return it == this->counters.end() ? 0.0 : it->second.counter;
 }
 
 }  // namespace limpetlink
--- a/src/limits/host_limit.cc
+++ b/src/limits/host_limit.cc
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr double kBurstSeconds = 1.0;
-constexpr double kHeldGain = 0.05;    // per request
-constexpr double kPressedPart = 0.5;  // of the fallback part
+constexpr double kDurationGain = 0.05;     // weight of the latest request
+constexpr double kRequestThreshold = 0.5;  // of the fallback share
 
 double Burst(const LimitShare& share) {
   return std::max(1.0, share.per_second * kBurstSeconds);
@@ -16,9 +16,10 @@
 }  // namespace
 
 void HostLimit::SetTotal(const LimitShare& total, std::size_t hosts) {
-  const double parts = static_cast<double>(std::max<std::size_t>(hosts, 1));
-  this->fallback.concurrent = std::max(1.0, total.concurrent / parts);
-  this->fallback.per_second = total.per_second / parts;
+  const double host_count =
+      static_cast<double>(std::max<std::size_t>(hosts, 1));
+  this->fallback.concurrent = std::max(1.0, total.concurrent / host_count);
+  this->fallback.per_second = total.per_second / host_count;
 }
 
 void HostLimit::Grant(const LimitShare& share, Instant until) {
@@ -39,13 +40,13 @@
     this->refilled = now;
     this->counted_since = now;
   }
-  const double passed = ToSeconds(now - this->refilled);
+  const double elapsed = ToSeconds(now - this->refilled);
   this->allowance =
-      std::min(Burst(share), this->allowance + passed * share.per_second);
+      std::min(Burst(share), this->allowance + elapsed * share.per_second);
   this->refilled = now;
 }
 
-LimitDecision HostLimit::Begin(Instant now, bool again) {
+LimitDecision HostLimit::Begin(Instant now, bool is_retry) {
   this->Refill(now);
   ++this->arrivals;
   const LimitShare share = this->Current(now);
@@ -53,30 +54,32 @@
     this->peak = std::max(this->peak, this->in_progress + 1);
     return LimitDecision::kConcurrency;
   }
-  if (!again && this->allowance < 1.0) {
+  if (!is_retry && this->allowance < 1.0) {
     return LimitDecision::kRate;
   }
-  this->allowance -= again ? 0.0 : 1.0;
+  this->allowance -= is_retry ? 0.0 : 1.0;
   ++this->in_progress;
   this->peak = std::max(this->peak, this->in_progress);
   return LimitDecision::kWithin;
 }
 
-void HostLimit::End(Duration held) {
+void HostLimit::End(Duration duration) {
   this->in_progress -= this->in_progress > 0 ? 1 : 0;
-  this->mean_held += kHeldGain * (ToSeconds(held) - this->mean_held);
+  this->mean_duration_s +=
+      kDurationGain * (ToSeconds(duration) - this->mean_duration_s);
 }
 
 bool HostLimit::ShouldRequestShare(Instant now) const {
-  const double passed = ToSeconds(now - this->counted_since);
-  const double expected = this->fallback.per_second * kPressedPart * passed;
-  return this->peak > this->fallback.concurrent * kPressedPart ||
+  const double elapsed = ToSeconds(now - this->counted_since);
+  const double expected =
+      this->fallback.per_second * kRequestThreshold * elapsed;
+  return this->peak > this->fallback.concurrent * kRequestThreshold ||
          this->arrivals > expected + 1.0;
 }
 
-Duration HostLimit::RetryAfter(LimitDecision answer, Instant now) const {
-  if (answer == LimitDecision::kConcurrency) {
-    return FromSeconds(this->mean_held / std::max(1U, this->in_progress));
+Duration HostLimit::RetryAfter(LimitDecision decision, Instant now) const {
+  if (decision == LimitDecision::kConcurrency) {
+    return FromSeconds(this->mean_duration_s / std::max(1U, this->in_progress));
   }
   const LimitShare share = this->Current(now);
   if (share.per_second <= 0) {
@@ -87,14 +90,14 @@
 }
 
 LimitShare HostLimit::TakeDemand(Instant now) {
-  const double passed = std::max(0.001, ToSeconds(now - this->counted_since));
-  LimitShare wanted;
-  wanted.concurrent = this->peak;
-  wanted.per_second = this->arrivals / passed;
+  const double elapsed = std::max(0.001, ToSeconds(now - this->counted_since));
+  LimitShare demand;
+  demand.concurrent = this->peak;
+  demand.per_second = this->arrivals / elapsed;
   this->counted_since = now;
   this->peak = this->in_progress;
   this->arrivals = 0;
-  return wanted;
+  return demand;
 }
 
 }  // namespace limpetlink
--- a/src/limits/limits.h
+++ b/src/limits/limits.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Organisations' shares of service: fair order, concurrency and rate.
+/// @brief Fairness between organisations and their concurrency and rate limits.
 #pragma once
 
 #include "limits/detail/fair_share.h"
--- a/src/limits/share_owner.cc
+++ b/src/limits/share_owner.cc
@@ -5,17 +5,19 @@
 namespace limpetlink {
 namespace {
 
-// A host that does not ask stays under this part of limit / hosts; see
+// Fraction of limit / hosts that a host may use without requesting a share; see
 // HostLimit::ShouldRequestShare.
-constexpr double kQuietPart = 0.5;
+constexpr double kUnrequestedFraction = 0.5;
 
-// What is left for the hosts that ask goes by want; what nobody wants, evenly.
-double Part(double left, double askers, double wanted, double all_wanted) {
-  const double spare = std::max(0.0, left - all_wanted) / askers;
-  if (all_wanted <= left) {
-    return wanted + spare;
+// Divides the available amount in proportion to demand; an excess over the
+// total demand is divided evenly.
+double AllocateByDemand(double available, double requesters, double demand,
+                        double total_demand) {
+  const double spare = std::max(0.0, available - total_demand) / requesters;
+  if (total_demand <= available) {
+    return demand + spare;
   }
-  return left * wanted / all_wanted;
+  return available * demand / total_demand;
 }
 
 }  // namespace
@@ -26,46 +28,49 @@
   this->hosts = std::max<std::size_t>(new_hosts, 1);
 }
 
-LimitShare ShareAllocator::Allocate(Instant now, const HostId& from,
-                                    const LimitShare& wanted) {
-  this->claims[from].wanted = wanted;
-  LimitShare all_wanted;
-  LimitShare handed;
-  for (auto it = this->claims.begin(); it != this->claims.end();) {
-    const bool asks = it->first == from;
-    if (!asks && it->second.until <= now) {
-      it = this->claims.erase(it);
+LimitShare ShareAllocator::Allocate(Instant now, const HostId& host,
+                                    const LimitShare& demand) {
+  this->allocations[host].demand = demand;
+  LimitShare total_demand;
+  LimitShare allocated;
+  for (auto it = this->allocations.begin(); it != this->allocations.end();) {
+    const bool is_requester = it->first == host;
+    if (!is_requester && it->second.until <= now) {
+      it = this->allocations.erase(it);
       continue;
     }
-    all_wanted.concurrent += it->second.wanted.concurrent;
-    all_wanted.per_second += it->second.wanted.per_second;
-    handed.concurrent += asks ? 0 : it->second.handed.concurrent;
-    handed.per_second += asks ? 0 : it->second.handed.per_second;
+    total_demand.concurrent += it->second.demand.concurrent;
+    total_demand.per_second += it->second.demand.per_second;
+    allocated.concurrent += is_requester ? 0 : it->second.allocated.concurrent;
+    allocated.per_second += is_requester ? 0 : it->second.allocated.per_second;
     ++it;
   }
-  const auto askers = static_cast<double>(this->claims.size());
-  const auto all = static_cast<double>(this->hosts);
-  const double quiet = std::max(0.0, all - askers) * kQuietPart / all;
-  const double least = kQuietPart / all;
+  const auto requesters = static_cast<double>(this->allocations.size());
+  const auto host_count = static_cast<double>(this->hosts);
+  const double unrequested = std::max(0.0, host_count - requesters) *
+                             kUnrequestedFraction / host_count;
+  const double minimum = kUnrequestedFraction / host_count;
   LimitShare share;
+  share.concurrent = std::max(
+      this->total.concurrent * minimum,
+      AllocateByDemand(this->total.concurrent * (1.0 - unrequested), requesters,
+                       demand.concurrent, total_demand.concurrent));
+  share.per_second = std::max(
+      this->total.per_second * minimum,
+      AllocateByDemand(this->total.per_second * (1.0 - unrequested), requesters,
+                       demand.per_second, total_demand.per_second));
+  const double allocatable = 1.0 - unrequested;
   share.concurrent =
-      std::max(this->total.concurrent * least,
-               Part(this->total.concurrent * (1.0 - quiet), askers,
-                    wanted.concurrent, all_wanted.concurrent));
+      std::min(share.concurrent,
+               this->total.concurrent * allocatable - allocated.concurrent);
   share.per_second =
-      std::max(this->total.per_second * least,
-               Part(this->total.per_second * (1.0 - quiet), askers,
-                    wanted.per_second, all_wanted.per_second));
-  const double open = 1.0 - quiet;
-  share.concurrent = std::min(
-      share.concurrent, this->total.concurrent * open - handed.concurrent);
-  share.per_second = std::min(
-      share.per_second, this->total.per_second * open - handed.per_second);
+      std::min(share.per_second,
+               this->total.per_second * allocatable - allocated.per_second);
   share.concurrent = std::max(share.concurrent, 0.0);
   share.per_second = std::max(share.per_second, 0.0);
-  Claim& claim = this->claims[from];
-  claim.handed = share;
-  claim.until = now + kShareLifetime;
+  Allocation& allocation = this->allocations[host];
+  allocation.allocated = share;
+  allocation.until = now + kShareLifetime;
   return share;
 }
 
--- a/src/limits/tests/limits_test.cc
+++ b/src/limits/tests/limits_test.cc
@@ -9,7 +9,7 @@
   return Instant{std::chrono::milliseconds(milliseconds)};
 }
 
-TEST_CASE("fair share, one organisation asks for all, nine are served evenly",
+TEST_CASE("fair share, all organisations wait, serves them by weight",
           "[limits]") {
   FairShare fair;
   std::vector<OrganisationId> waiting;
@@ -26,32 +26,33 @@
   }
   CHECK(served[OrganisationId{"big"}] == Approx(100000).epsilon(0.01));
   CHECK(served[OrganisationId{"c"}] == Approx(200000).epsilon(0.01));
-  SECTION("one that was idle saves up no claim") {
+  SECTION("idle time accumulates no credit") {
     const OrganisationId late{"late"};
     fair.Activate(late, waiting);
     CHECK(fair.Counter(late) >= fair.Counter(fair.Order(waiting).front()));
   }
 }
 
-TEST_CASE("host limit, no owner answers, enforces the limit by hosts",
+TEST_CASE("host limit, no share granted, enforces the limit divided by hosts",
           "[limits]") {
   HostLimit limit;
   limit.SetTotal({8, 40}, 4);
   CHECK(limit.Begin(At(0)) == LimitDecision::kWithin);
   CHECK(limit.Begin(At(0)) == LimitDecision::kWithin);
   CHECK(limit.Begin(At(0)) == LimitDecision::kConcurrency);
-  SECTION("an end lets the next in") {
+  SECTION("the end of a request admits the next") {
     limit.End(std::chrono::seconds(1));
     CHECK(limit.Begin(At(1)) == LimitDecision::kWithin);
   }
-  SECTION("a share holds until its time") {
+  SECTION("a granted share applies until it expires") {
     limit.Grant({5, 40}, At(6000));
     CHECK(limit.Begin(At(1)) == LimitDecision::kWithin);
     CHECK(limit.Begin(At(6001)) == LimitDecision::kConcurrency);
   }
 }
 
-TEST_CASE("host limit, rate is spent, says when it is not", "[limits]") {
+TEST_CASE("host limit, rate is exceeded, returns the time to the next request",
+          "[limits]") {
   HostLimit limit;
   limit.SetTotal({1000, 10}, 1);
   int within = 0;
@@ -64,21 +65,22 @@
   CHECK(limit.Begin(At(100)) == LimitDecision::kWithin);
 }
 
-TEST_CASE("share owner, any hosts ask, shares never pass the limit",
+TEST_CASE("share allocator, random requests, shares never exceed the limit",
           "[limits]") {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Random random(seed);
-    ShareAllocator owner;
-    owner.SetTotal({60, 120}, 6);
-    std::map<HostId, std::pair<LimitShare, Instant>> held;
+    ShareAllocator allocator;
+    allocator.SetTotal({60, 120}, 6);
+    std::map<HostId, std::pair<LimitShare, Instant>> granted;
     for (int i = 0; i < 200; ++i) {
       const Instant now = At(i * 300);
       const HostId host{"h" + std::to_string(random.Below(6))};
-      const LimitShare wanted{static_cast<double>(random.Below(80)),
+      const LimitShare demand{static_cast<double>(random.Below(80)),
                               static_cast<double>(random.Below(200))};
-      held[host] = {owner.Allocate(now, host, wanted), now + kShareLifetime};
+      granted[host] = {allocator.Allocate(now, host, demand),
+                       now + kShareLifetime};
       LimitShare sum;
-      for (const auto& [each, share] : held) {
+      for (const auto& [each, share] : granted) {
         const bool fresh = share.second > now;
         sum.concurrent += fresh ? share.first.concurrent : 0;
         sum.per_second += fresh ? share.first.per_second : 0;
