--- a/src/routes/detail/deployment.h
+++ b/src/routes/detail/deployment.h
@@ -1,5 +1,6 @@
 /// @file
-/// @brief The routes, services, caller bounds and keys that are in force.
+/// @brief Deployment: one version of the routes, services, HTTP limits and API
+/// keys.
 #pragma once
 
 #include <cstdint>
@@ -11,11 +12,11 @@
 
 namespace limpetlink {
 
-/// @brief What may be repeated on a route.
+/// @brief Whether requests of a route may be run more than once.
 enum class RouteKind {
   kIdempotent,     ///< may run more than once
   kNonIdempotent,  ///< runs at most once
-  kStreaming,      ///< runs at most once; its answer is a series of events
+  kStreaming,      ///< runs at most once; the response is an event stream
 };
 
 template <>
@@ -26,33 +27,33 @@
       {RouteKind::kStreaming, "streaming"}};
 };
 
-/// @brief A service that gets a part of a route's requests.
+/// @brief A service that receives a fraction of a route's requests.
 struct WeightedService {
   std::string service;
-  double weight = 1.0;  ///< against the weights beside it
+  double weight = 1.0;  ///< relative to the route's other services
 };
 
-/// @brief Where requests of a host and path prefix go, and within which bounds.
+/// @brief Services and limits for the requests of a host and path prefix.
 struct ForwardingRoute {
   std::string name;
   std::string host;         ///< in lower case, without a port
   std::string path_prefix;  ///< begins and ends with a slash
   RouteKind kind = RouteKind::kNonIdempotent;
   std::vector<WeightedService> services;  ///< at least one
-  Duration timeout{0};                    ///< longest that a caller is kept
-  Duration objective{0};                  ///< first byte wanted within
+  Duration timeout{0};                    ///< maximum time that a caller waits
+  Duration objective{0};                  ///< target time to the first byte
   std::uint32_t max_attempts = 1;         ///< workers that may run one request
   int priority = 0;                       ///< 0 is the highest
-  bool anonymous = false;                 ///< needs no key
+  bool anonymous = false;                 ///< needs no API key
 };
 
-/// @brief What the engines of a model service can hold.
+/// @brief Capacity and capabilities of the engines of a model service.
 struct EngineTraits {
   std::uint32_t slots = 0;
   std::uint64_t memory_tokens = 0;  ///< running requests and cached prefixes
-  double bytes_per_token = 0;       ///< of a stream's memory when it moves
-  double link_mbps = 0;             ///< between workers
-  bool supports_migration = false;  ///< running streams may move
+  double bytes_per_token = 0;       ///< KV cache size, for migration
+  double link_mbps = 0;             ///< between workers, in Mbit/s
+  bool supports_migration = false;  ///< of running streams
 };
 
 /// @brief A service that workers register for.
@@ -61,7 +62,7 @@
   std::optional<EngineTraits> engine;  ///< set when its workers run a model
 };
 
-/// @brief What a caller may send, and how long it may take.
+/// @brief Size limits and timeouts for callers' HTTP requests.
 struct HttpLimits {
   std::size_t header_bytes = 16U << 10U;
   std::size_t body_bytes = 4U << 20U;
@@ -69,20 +70,20 @@
   Duration idle_timeout{std::chrono::seconds(15)};
 };
 
-/// @brief An organisation and the digests of its keys.
+/// @brief An organisation and the digests of its API keys.
 struct KeyHolder {
   OrganisationId organisation;
   std::vector<std::string> key_digests;  ///< SHA-256, hexadecimal
-  std::optional<int> priority;           ///< goes before the route's
+  std::optional<int> priority;           ///< overrides the route's
 };
 
-/// @brief One version of all that forwarding is told by its operators.
+/// @brief One version of the forwarding configuration.
 struct Deployment {
   std::uint64_t version = 0;
   std::vector<ForwardingRoute> routes;
   std::vector<ForwardingService> services;
   HttpLimits http_limits;
-  std::vector<KeyHolder> holders;  ///< empty: no route needs a key
+  std::vector<KeyHolder> holders;  ///< empty: no route needs an API key
 };
 
 }  // namespace limpetlink
--- a/src/routes/detail/route_table.h
+++ b/src/routes/detail/route_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Finds the route of a request and the holder of a key.
+/// @brief RouteTable: looks up routes, services and API keys.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 
 namespace limpetlink {
 
-/// @brief An immutable index over one Deployment.
+/// @brief Immutable index of one Deployment.
 /// @note Example:
 /// @code
 /// const RouteTable table(std::move(deployment));
@@ -21,39 +21,40 @@
  public:
   explicit RouteTable(Deployment deployment);
 
-  /// @brief Finds the route with the longest prefix that begins the path.
-  /// @param host as in the Host header; case and port do not matter
-  /// @param path as sent, without the query
+  /// @brief Finds the route with the longest matching path prefix.
+  /// @param host as in the Host header; case and port are ignored
+  /// @param path as sent, without the query; percent-encoding is not decoded
   /// @return the route, or nullptr
   /// @note Complexity: linear in the routes of the host.
   const ForwardingRoute* Find(std::string_view host,
                               std::string_view path) const;
 
-  /// @brief Finds who holds a key. Keys are looked up by their digest, so that
-  /// the time taken tells nothing of the key.
+  /// @brief Finds the holder of an API key. Keys are looked up by their digest,
+  /// so that timing reveals nothing about the key.
   /// @return the holder, or nullptr
   const KeyHolder* FindKeyHolder(std::string_view key) const;
 
-  /// @return the service of that name, or nullptr
+  /// @return the service with this name, or nullptr
   const ForwardingService* FindService(const std::string& name) const;
 
-  /// @return whether routes that are not anonymous need a key
+  /// @return whether routes that are not anonymous need an API key
   bool NeedsKeys() const { return !this->deployment.holders.empty(); }
 
+  /// @return the indexed deployment
   const Deployment& Contents() const { return this->deployment; }
 
  private:
   Deployment deployment;
-  /// Indices into routes, the longest prefix first.
+  /// Indices into the deployment's routes, the longest prefix first.
   std::unordered_map<std::string, std::vector<std::size_t>> by_host;
   std::unordered_map<std::string, std::size_t> by_digest;
   std::unordered_map<std::string, std::size_t> by_service;
 };
 
-/// @brief Chooses the service of a split route.
-/// @param fraction in [0, 1), drawn for the request
-/// @return a service of the route; one of weight 0 is never chosen while
-/// another has weight
+/// @brief Selects a service of a route by weight.
+/// @param fraction random number in [0, 1), drawn for the request
+/// @return a service of the route; one of weight 0 is never selected unless
+/// all weights are 0
 const std::string& ChooseService(const ForwardingRoute& route, double fraction);
 
 }  // namespace limpetlink
--- a/src/routes/route_table.cc
+++ b/src/routes/route_table.cc
@@ -16,7 +16,7 @@
   return name;
 }
 
-bool Begins(std::string_view path, const std::string& prefix) {
+bool HasPrefix(std::string_view path, const std::string& prefix) {
   return path.substr(0, prefix.size()) == prefix;
 }
 
@@ -53,7 +53,7 @@
   }
   for (const std::size_t index : found->second) {
     const ForwardingRoute& route = this->deployment.routes[index];
-    if (Begins(path, route.path_prefix)) {
+    if (HasPrefix(path, route.path_prefix)) {
       return &route;
     }
   }
@@ -77,15 +77,15 @@
 
 const std::string& ChooseService(const ForwardingRoute& route,
                                  double fraction) {
-  double sum = 0;
-  for (const WeightedService& share : route.services) {
-    sum += share.weight;
+  double total_weight = 0;
+  for (const WeightedService& target : route.services) {
+    total_weight += target.weight;
   }
-  double left = fraction * sum;
-  for (const WeightedService& share : route.services) {
-    left -= share.weight;
-    if (left < 0) {
-      return share.service;
+  double remaining = fraction * total_weight;
+  for (const WeightedService& target : route.services) {
+    remaining -= target.weight;
+    if (remaining < 0) {
+      return target.service;
     }
   }
   return route.services.front().service;
--- a/src/routes/routes.h
+++ b/src/routes/routes.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Routes by host and path prefix, split routes, and keys.
+/// @brief Deployments, and lookup of routes, services and API keys in them.
 #pragma once
 
 #include "routes/detail/deployment.h"
--- a/src/routes/tests/route_table_test.cc
+++ b/src/routes/tests/route_table_test.cc
@@ -36,7 +36,7 @@
 };
 
 TEST_CASE_METHOD(RouteTableFixture,
-                 "route table, several prefixes fit, takes the longest",
+                 "route table, several prefixes match, finds the longest",
                  "[routes]") {
   CHECK(this->NameOf("fleet.example", "/trial/long/7") == "trial-long");
   CHECK(this->NameOf("fleet.example", "/trial/7") == "trial");
@@ -44,19 +44,19 @@
 }
 
 TEST_CASE_METHOD(RouteTableFixture,
-                 "route table, host with port and other case, is found",
+                 "route table, host with port and other case, finds the route",
                  "[routes]") {
   CHECK(this->NameOf("FLEET.example:8080", "/trial/7") == "trial");
   CHECK(this->NameOf("other.example", "/trial/7").empty());
 }
 
 TEST_CASE_METHOD(RouteTableFixture,
-                 "route table, encoded path, is compared as it was sent",
+                 "route table, percent-encoded path, is not decoded",
                  "[routes]") {
   CHECK(this->NameOf("fleet.example", "/trial%2Flong/7") == "all");
 }
 
-TEST_CASE_METHOD(RouteTableFixture, "route table, key, names its holder only",
+TEST_CASE_METHOD(RouteTableFixture, "route table, key, finds only its holder",
                  "[routes]") {
   REQUIRE(this->table.FindKeyHolder("key-1") != nullptr);
   CHECK(this->table.FindKeyHolder("key-1")->organisation.value == "panel");
@@ -64,7 +64,7 @@
   CHECK(this->table.FindKeyHolder("") == nullptr);
 }
 
-TEST_CASE("split route, weights 90 and 10, divides the fractions so",
+TEST_CASE("split route, weights 90 and 10, selects services by weight",
           "[routes]") {
   ForwardingRoute route;
   route.services = {{"first", 90}, {"second", 10}};
@@ -73,7 +73,7 @@
   CHECK(ChooseService(route, 0.91) == "second");
 }
 
-TEST_CASE("split route, weight 0, is never chosen", "[routes]") {
+TEST_CASE("split route, weight 0, is never selected", "[routes]") {
   ForwardingRoute route;
   route.services = {{"none", 0}, {"all", 10}};
   CHECK(ChooseService(route, 0.0) == "all");
