--- a/src/leases/detail/lease.h
+++ b/src/leases/detail/lease.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Lease: at most one holder believes that it holds, judged by each
-/// host's own elapsed time.
+/// @brief Lease: mutual exclusion between hosts, timed by the elapsed time of
+/// each host's own clock.
 #pragma once
 
 #include <cstdint>
@@ -14,97 +14,101 @@
 
 namespace limpetlink {
 
-/// @brief Kind of the leases' objects.
+/// @brief Kind of the objects that store leases.
 inline constexpr std::string_view kLeaseKind = "lease";
 
-/// @brief What a lease is built with; equal on all hosts but for the holder.
+/// @brief Settings of a lease; equal on all hosts except for the holder.
 struct LeaseSettings {
-  std::string name;    ///< of the object
-  std::string holder;  ///< unique for each process, as "entry-1/boot-77"
+  std::string name;    ///< of the stored object
+  std::string holder;  ///< unique for each process, such as "entry-1/boot-77"
   Duration duration{std::chrono::seconds(10)};
-  Duration margin{std::chrono::seconds(2)};  ///< the holder stops so much
-                                             ///< earlier, others wait so much
-                                             ///< longer
+  /// The holder stops this much before the duration has elapsed; others wait
+  /// this much longer. Covers differences between the rates of their clocks.
+  Duration margin{std::chrono::seconds(2)};
   Duration renew_every{std::chrono::seconds(3)};
   Duration poll_every{std::chrono::seconds(3)};
-  std::uint64_t seed = 1;
+  std::uint64_t seed = 1;  ///< of the jitter
 };
 
-/// @brief What a lease's object says.
+/// @brief Contents of a lease's stored object.
 struct LeaseRecord {
-  std::string holder;  ///< empty: given back
+  std::string holder;  ///< empty: released
   std::uint64_t epoch = 0;
 };
 
-/// @brief Writes a record as JSON.
+/// @brief Serializes a record as JSON.
 std::string WriteLeaseRecord(const LeaseRecord& record);
 
-/// @brief Reads a record; nothing when malformed.
+/// @brief Parses a record.
+/// @return the record, or nothing if the JSON is malformed
 std::optional<LeaseRecord> ReadLeaseRecord(std::string_view json);
 
-/// @brief That the lease came or went.
+/// @brief Reports that the lease was acquired or lost.
 struct LeaseChange {
   bool held = false;
   std::uint64_t epoch = 0;
 };
 
-/// @brief One host's part in a lease.
+/// @brief Acquires, renews and releases a lease for one host.
 ///
-/// The holder counts its time from the moment it sent a write; the others from
-/// the moment they first saw the version. No host's clock is compared with
-/// another's: only their rates must agree to margin / duration.
+/// The holder measures the duration from the moment it sent the write, other
+/// hosts from the moment they first saw the version. Clocks of different hosts
+/// are never compared; only their rates must agree to margin / duration.
 /// @note Example:
 /// @code
 /// Lease lease(settings, &platform);
 /// lease.Start(now);
-/// lease.OnPlatform(now, result);  // each result of the client
-/// lease.Tick(now);                // by NextWakeup()
-/// if (lease.Held(now)) { order(lease.Epoch()); }
+/// lease.OnPlatform(now, result);  // for each result of the client
+/// lease.Tick(now);                // no later than NextWakeup()
+/// if (lease.Held(now)) { Act(lease.Epoch()); }
 /// @endcode
 class Lease {
  public:
-  /// @param platform client to use; outlives this
+  /// @param platform client of the metadata store; must outlive the lease
   Lease(LeaseSettings settings, MetadataStoreClient* platform);
 
-  /// @brief Begins to read, and to take the lease when it is free.
+  /// @brief Starts polling the lease, and acquiring it when it is free.
   void Start(Instant now);
 
-  /// @brief Says whether this host is to take the lease; a few hosts should.
+  /// @brief Sets whether this host tries to acquire the lease; only a few hosts
+  /// should. Releases a held lease if not.
   void SetCandidate(Instant now, bool candidate);
 
-  /// @brief Takes an operation's result.
-  /// @return whether the operation was the lease's
+  /// @brief Handles the result of a store operation.
+  /// @return whether the operation belonged to this lease
   bool OnPlatform(Instant now, const StoreResult& result);
 
-  /// @brief Lets time pass; a lease that ran out in a pause is lost here.
+  /// @brief Advances the timers; detects a lease that expired during a pause of
+  /// the process.
   void Tick(Instant now);
 
-  /// @return when Tick is due at the latest
+  /// @return the latest time of the next Tick
   Instant NextWakeup() const;
 
-  /// @brief Stops holding at once, offers the lease to others and is no
-  /// candidate any more.
+  /// @brief Ends the holding at once, releases the lease to other hosts and
+  /// stops being a candidate.
   void Release(Instant now);
 
-  /// @brief Stops holding at once, as when an upstream shows a higher epoch.
+  /// @brief Ends the holding at once, for example when an upstream reports a
+  /// higher epoch; the lease is read again before it is acquired.
   void Invalidate(Instant now);
 
-  /// @return whether the lease is held; ask before each decision
+  /// @return whether the lease is held; must be checked before each decision
   bool Held(Instant now) const { return now < this->held_until; }
 
-  /// @return until when it is held unless renewed
+  /// @return when the lease expires unless renewed
   Instant HeldUntil() const { return this->held_until; }
 
-  /// @return the fencing number of the last holding
+  /// @return the fencing token of the current or last holding
   std::uint64_t Epoch() const { return this->epoch; }
 
-  /// @return when the current holding began
+  /// @return when the current or last holding began
   Instant HeldSince() const { return this->held_since; }
 
-  /// @return the times it was built with
+  /// @return the settings of the lease
   const LeaseSettings& Settings() const { return this->settings; }
 
-  /// @brief Hands over comings and goings since the last take.
+  /// @brief Returns and clears the changes since the last call.
   std::vector<LeaseChange> TakeChanges();
 
  private:
@@ -112,11 +116,17 @@
   void Write(Instant now, const LeaseRecord& record, std::uint64_t base);
   void HandleRead(Instant now, const StoreResult& read);
   void HandleWritten(Instant now, const StoreResult& written);
-  void See(Instant now, std::uint64_t version, const LeaseRecord& record);
-  void Hold(Instant now, Instant sent, std::uint64_t epoch);
-  void Lose(Instant now);
-  void Act(Instant now);
-  Instant Later(Instant now, Duration full);
+  /// @brief Records the stored version and when it was first seen.
+  void RecordSeen(Instant now, std::uint64_t version,
+                  const LeaseRecord& record);
+  /// @brief Starts or extends the holding after a write sent at a given time.
+  void ExtendHolding(Instant now, Instant sent, std::uint64_t epoch);
+  /// @brief Ends the holding and reports the change.
+  void EndHolding(Instant now);
+  /// @brief Renews, releases, acquires or reads the lease, as is due.
+  void RunNextOperation(Instant now);
+  /// @return now plus 0.75 to 1.25 times the interval, at random
+  Instant AfterJittered(Instant now, Duration interval);
 
   LeaseSettings settings;
   MetadataStoreClient* platform;
@@ -124,19 +134,20 @@
   bool started = false;
   bool candidate = true;
   bool releasing = false;
-  std::uint64_t op = 0;
-  bool op_writes = false;
-  LeaseRecord written;          ///< by the last write
-  Instant sent{};               ///< when it was sent
-  Instant unresolved = kNever;  ///< earliest write whose answer was lost
-  bool must_read = false;
+  std::uint64_t op = 0;  ///< in progress; 0 if none
+  bool op_is_write = false;
+  LeaseRecord written;  ///< by the last write
+  Instant sent{};       ///< time of the last write
+  /// Time of the earliest write whose response was lost.
+  Instant earliest_unconfirmed = kNever;
+  bool must_read = false;  ///< before the next write
   std::uint64_t seen_version = 0;
   LeaseRecord seen;
-  Instant seen_at{};
+  Instant seen_at{};  ///< when seen_version was first seen
   Instant held_until{};
   Instant held_since{};
   std::uint64_t epoch = 0;
-  bool told_held = false;
+  bool reported_held = false;
   Instant next = kNever;
   std::vector<LeaseChange> changes;
 };
--- a/src/leases/lease.cc
+++ b/src/leases/lease.cc
@@ -18,10 +18,11 @@
 
 std::optional<LeaseRecord> ReadLeaseRecord(std::string_view json) {
   const Json value = Json::parse(json, nullptr, false);
-  const bool shape = value.is_object() && value.contains("holder") &&
-                     value["holder"].is_string() && value.contains("epoch") &&
-                     value["epoch"].is_number_unsigned();
-  if (!shape) {
+  const bool is_valid = value.is_object() && value.contains("holder") &&
+                        value["holder"].is_string() &&
+                        value.contains("epoch") &&
+                        value["epoch"].is_number_unsigned();
+  if (!is_valid) {
     return std::nullopt;
   }
   return LeaseRecord{value["holder"].get<std::string>(),
@@ -49,9 +50,9 @@
   this->next = std::min(this->next, now);
 }
 
-Instant Lease::Later(Instant now, Duration full) {
-  return now +
-         FromSeconds(ToSeconds(full) * (0.75 + 0.5 * this->random.Fraction()));
+Instant Lease::AfterJittered(Instant now, Duration interval) {
+  return now + FromSeconds(ToSeconds(interval) *
+                           (0.75 + 0.5 * this->random.Fraction()));
 }
 
 void Lease::Read(Instant now) {
@@ -60,7 +61,7 @@
   }
   const ObjectKey key{std::string(kLeaseKind), this->settings.name};
   this->op = this->platform->Get(now, key).value;
-  this->op_writes = false;
+  this->op_is_write = false;
 }
 
 void Lease::Write(Instant now, const LeaseRecord& record, std::uint64_t base) {
@@ -69,7 +70,7 @@
       base == 0 ? WriteCondition::IfAbsent() : WriteCondition::IfVersion(base);
   this->op =
       this->platform->Put(now, key, WriteLeaseRecord(record), condition).value;
-  this->op_writes = true;
+  this->op_is_write = true;
   this->written = record;
   this->sent = now;
 }
@@ -79,7 +80,7 @@
     return false;
   }
   this->op = 0;
-  if (this->op_writes) {
+  if (this->op_is_write) {
     this->HandleWritten(now, result);
   } else {
     this->HandleRead(now, result);
@@ -89,31 +90,32 @@
 
 void Lease::HandleWritten(Instant now, const StoreResult& written) {
   if (written.status == StoreStatus::kOk) {
-    this->See(now, written.version, this->written);
-    this->unresolved = kNever;
+    this->RecordSeen(now, written.version, this->written);
+    this->earliest_unconfirmed = kNever;
     if (!this->written.holder.empty()) {
-      this->Hold(now, this->sent, this->written.epoch);
+      this->ExtendHolding(now, this->sent, this->written.epoch);
     }
-    this->next = this->Later(now, this->settings.renew_every);
+    this->next = this->AfterJittered(now, this->settings.renew_every);
     return;
   }
   if (written.status == StoreStatus::kUnknown) {
-    this->unresolved = std::min(this->unresolved, this->sent);
+    this->earliest_unconfirmed =
+        std::min(this->earliest_unconfirmed, this->sent);
   }
-  // Lost, refused or beaten: only a read tells whose the lease is.
+  // Lost, refused or conflicting write: only a read determines the holder.
   this->must_read = true;
-  const bool at_once = written.status == StoreStatus::kConflict ||
-                       written.status == StoreStatus::kUnknown;
+  const bool retry_now = written.status == StoreStatus::kConflict ||
+                         written.status == StoreStatus::kUnknown;
   const Duration wait =
       std::max(this->settings.poll_every / 3, written.retry_after);
-  this->next = at_once ? now : this->Later(now, wait);
+  this->next = retry_now ? now : this->AfterJittered(now, wait);
 }
 
 void Lease::HandleRead(Instant now, const StoreResult& read) {
-  this->next = this->Later(now, this->settings.poll_every);
+  this->next = this->AfterJittered(now, this->settings.poll_every);
   if (read.status == StoreStatus::kAbsent) {
     this->must_read = false;
-    this->Lose(now);
+    this->EndHolding(now);
     if (this->candidate) {
       this->Write(now, {this->settings.holder, 1}, 0);
     }
@@ -127,22 +129,24 @@
   }
   this->must_read = false;
   const bool own = record->holder == this->settings.holder;
-  const bool landed =
-      own && read.version > this->seen_version && this->unresolved != kNever;
-  this->See(now, read.version, *record);
-  if (landed) {
-    this->Hold(now, std::exchange(this->unresolved, kNever), record->epoch);
+  const bool write_applied = own && read.version > this->seen_version &&
+                             this->earliest_unconfirmed != kNever;
+  this->RecordSeen(now, read.version, *record);
+  if (write_applied) {
+    this->ExtendHolding(now, std::exchange(this->earliest_unconfirmed, kNever),
+                        record->epoch);
   }
   if (own) {
     this->next = now;
     return;
   }
-  this->unresolved = kNever;
+  this->earliest_unconfirmed = kNever;
   this->releasing = false;
-  this->Lose(now);
+  this->EndHolding(now);
 }
 
-void Lease::See(Instant now, std::uint64_t version, const LeaseRecord& record) {
+void Lease::RecordSeen(Instant now, std::uint64_t version,
+                       const LeaseRecord& record) {
   if (version != this->seen_version) {
     this->seen_version = version;
     this->seen_at = now;
@@ -150,26 +154,26 @@
   this->seen = record;
 }
 
-void Lease::Hold(Instant now, Instant sent, std::uint64_t epoch) {
+void Lease::ExtendHolding(Instant now, Instant sent, std::uint64_t epoch) {
   if (this->releasing) {
     return;
   }
-  if (epoch != this->epoch || !this->told_held) {
+  if (epoch != this->epoch || !this->reported_held) {
     this->held_since = now;
   }
   const Instant until = sent + this->settings.duration - this->settings.margin;
   this->epoch = epoch;
   this->held_until = std::max(this->held_until, until);
-  if (!this->told_held && this->Held(now)) {
-    this->told_held = true;
+  if (!this->reported_held && this->Held(now)) {
+    this->reported_held = true;
     this->changes.push_back({true, epoch});
   }
 }
 
-void Lease::Lose(Instant now) {
+void Lease::EndHolding(Instant now) {
   this->held_until = std::min(this->held_until, now);
-  if (this->told_held) {
-    this->told_held = false;
+  if (this->reported_held) {
+    this->reported_held = false;
     this->changes.push_back({false, this->epoch});
   }
 }
@@ -177,12 +181,12 @@
 void Lease::Release(Instant now) {
   this->releasing = this->Held(now);
   this->candidate = false;
-  this->Lose(now);
+  this->EndHolding(now);
   this->next = now;
 }
 
 void Lease::Invalidate(Instant now) {
-  this->Lose(now);
+  this->EndHolding(now);
   this->must_read = true;
   this->next = now;
 }
@@ -191,21 +195,21 @@
   if (!this->started) {
     return;
   }
-  if (this->told_held && !this->Held(now)) {
-    this->Lose(now);
+  if (this->reported_held && !this->Held(now)) {
+    this->EndHolding(now);
   }
   if (this->op != 0 || now < this->next) {
     return;
   }
-  this->next = this->Later(now, this->settings.poll_every);
+  this->next = this->AfterJittered(now, this->settings.poll_every);
   if (this->must_read || this->seen_version == 0) {
     this->Read(now);
     return;
   }
-  this->Act(now);
+  this->RunNextOperation(now);
 }
 
-void Lease::Act(Instant now) {
+void Lease::RunNextOperation(Instant now) {
   const bool own = this->seen.holder == this->settings.holder;
   if (this->releasing && own) {
     this->releasing = false;
@@ -217,8 +221,8 @@
     return;
   }
   const Duration unchanged = now - this->seen_at;
-  const Duration patience = this->settings.duration + this->settings.margin;
-  const bool free = own || this->seen.holder.empty() || unchanged >= patience;
+  const Duration expiry = this->settings.duration + this->settings.margin;
+  const bool free = own || this->seen.holder.empty() || unchanged >= expiry;
   if (this->candidate && free) {
     this->Write(now, {this->settings.holder, this->seen.epoch + 1},
                 this->seen_version);
@@ -229,7 +233,7 @@
 
 Instant Lease::NextWakeup() const {
   Instant wake = this->op == 0 ? this->next : kNever;
-  if (this->told_held) {
+  if (this->reported_held) {
     wake = std::min(wake, this->held_until);
   }
   return wake;
--- a/src/leases/leases.h
+++ b/src/leases/leases.h
@@ -1,6 +1,5 @@
 /// @file
-/// @brief Leases on objects of the platform, whose epochs serve as fencing
-/// numbers.
+/// @brief Leases stored in the metadata store; their epochs are fencing tokens.
 #pragma once
 
 #include "leases/detail/lease.h"
--- a/src/leases/tests/lease_test.cc
+++ b/src/leases/tests/lease_test.cc
@@ -13,10 +13,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kSlice = milliseconds(20);
-constexpr Duration kWay = milliseconds(10);
+constexpr Duration kStep = milliseconds(20);
+constexpr Duration kDelay = milliseconds(10);
 
-/// @brief Some holders of one lease, each with a clock of its own rate.
+/// @brief Simulates hosts that compete for one lease, each with a clock of its
+/// own rate.
 class LeaseFixture {
  public:
   struct Holder {
@@ -24,7 +25,7 @@
     std::unique_ptr<Lease> lease;
     double rate = 1.0;
     Instant paused_until{};
-    bool away = false;
+    bool disconnected = false;
   };
 
   void Make(std::size_t count, std::uint64_t seed) {
@@ -57,7 +58,7 @@
 
   void Run(Duration span) {
     const Instant end = this->now + span;
-    for (; this->now < end; this->now += kSlice) {
+    for (; this->now < end; this->now += kStep) {
       this->RunQueue();
       for (std::size_t i = 0; i < this->holders.size(); ++i) {
         if (this->holders[i].paused_until <= this->now) {
@@ -78,13 +79,14 @@
     }
     for (const Action& action : holder.client->TakeActions()) {
       if (const auto* call = std::get_if<HttpCall>(&action)) {
-        this->Carry(index, *call);
+        this->Deliver(index, *call);
       }
     }
     for (const LeaseChange& change : holder.lease->TakeChanges()) {
       if (change.held) {
-        // An epoch belongs to one holder, and a later holder's is higher; the
-        // same holder may come back to it while nobody came between.
+        // Each epoch belongs to one holder, and a later holder has a higher
+        // epoch. A holder may regain its own epoch if no other held the lease
+        // in between.
         const bool first = this->epochs.empty();
         const std::uint64_t last = first ? 0 : this->epochs.rbegin()->first;
         const bool again = !first && change.epoch == last;
@@ -95,37 +97,39 @@
     }
   }
 
-  /// @brief Takes a call to the platform, perhaps late, perhaps in vain.
-  void Carry(std::size_t index, const HttpCall& call) {
-    const double dice = this->random.Fraction();
-    const bool away = this->holders[index].away;
-    Duration way = kWay;
-    bool answered = !away;
-    if (!away && dice < this->faults) {
-      answered = dice > this->faults / 3;
-      way =
-          dice > this->faults * 2 / 3 ? seconds(this->random.Below(25)) : kWay;
+  /// @brief Delivers a call to the platform; may delay it, or lose the call or
+  /// its response.
+  void Deliver(std::size_t index, const HttpCall& call) {
+    const double roll = this->random.Fraction();
+    const bool disconnected = this->holders[index].disconnected;
+    Duration delay = kDelay;
+    bool responds = !disconnected;
+    if (!disconnected && roll < this->faults) {
+      responds = roll > this->faults / 3;
+      delay = roll > this->faults * 2 / 3 ? seconds(this->random.Below(25))
+                                          : kDelay;
     }
-    const bool runs = !away;
-    this->queue.emplace(this->now + way, [this, index, call, answered, runs] {
-      const auto answer =
-          runs ? this->platform.Serve(call) : testing::FakePlatform::Answer{};
-      MetadataStoreClient& client = *this->holders[index].client;
-      const Instant local = this->Local(index);
-      if (!answered) {
-        client.OnDone(local, {call.id, HttpEnd::kCut});
-        return;
-      }
-      for (const Event& event : testing::ToEvents(call.id, answer)) {
-        if (const auto* head = std::get_if<HttpHead>(&event)) {
-          client.OnHead(local, *head);
-        } else if (const auto* chunk = std::get_if<HttpChunk>(&event)) {
-          client.OnChunk(local, *chunk);
-        } else {
-          client.OnDone(local, std::get<HttpDone>(event));
-        }
-      }
-    });
+    const bool reached = !disconnected;
+    this->queue.emplace(
+        this->now + delay, [this, index, call, responds, reached] {
+          const auto response = reached ? this->platform.Serve(call)
+                                        : testing::FakePlatform::Answer{};
+          MetadataStoreClient& client = *this->holders[index].client;
+          const Instant local = this->Local(index);
+          if (!responds) {
+            client.OnDone(local, {call.id, HttpEnd::kCut});
+            return;
+          }
+          for (const Event& event : testing::ToEvents(call.id, response)) {
+            if (const auto* head = std::get_if<HttpHead>(&event)) {
+              client.OnHead(local, *head);
+            } else if (const auto* chunk = std::get_if<HttpChunk>(&event)) {
+              client.OnChunk(local, *chunk);
+            } else {
+              client.OnDone(local, std::get<HttpDone>(event));
+            }
+          }
+        });
   }
 
   void RunQueue() {
@@ -165,8 +169,7 @@
   Instant now{seconds(1000)};
 };
 
-TEST_CASE_METHOD(LeaseFixture,
-                 "lease, nothing fails, has one holder that stays") {
+TEST_CASE_METHOD(LeaseFixture, "lease, no faults, keeps one holder") {
   this->Make(3, 1);
   this->Run(seconds(5));
   const std::size_t holder = this->HolderNow();
@@ -176,9 +179,10 @@
   CHECK(this->epochs.size() == 1);
 }
 
-TEST_CASE_METHOD(LeaseFixture,
-                 "lease, holder is paused or cut off, passes to another with a "
-                 "higher epoch and the old one knows") {
+TEST_CASE_METHOD(
+    LeaseFixture,
+    "lease, holder is paused or disconnected, another acquires it with "
+    "a higher epoch and the old one stops holding") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     this->Make(3, seed);
     this->Run(seconds(5));
@@ -187,7 +191,7 @@
     if (seed % 2 == 0) {
       this->holders[old].paused_until = this->now + seconds(60);
     } else {
-      this->holders[old].away = true;
+      this->holders[old].disconnected = true;
     }
     this->Run(seconds(25));
     INFO("seed " << seed);
@@ -199,7 +203,8 @@
   }
 }
 
-TEST_CASE_METHOD(LeaseFixture, "lease, holder releases it, passes at once") {
+TEST_CASE_METHOD(LeaseFixture,
+                 "lease, holder releases it, another acquires it at once") {
   this->Make(2, 3);
   this->Run(seconds(5));
   const std::size_t old = this->HolderNow();
@@ -210,8 +215,8 @@
 }
 
 TEST_CASE_METHOD(LeaseFixture,
-                 "lease, lost and late answers with pauses and drifting "
-                 "clocks, never has two holders and is never lost for good") {
+                 "lease, lost and delayed responses, pauses and clock drift, "
+                 "never has two holders and always gets one again") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     this->faults = 0.3;
     this->Make(2 + seed % 4, seed);
@@ -220,13 +225,13 @@
       if (this->random.Below(2) == 0) {
         holder.paused_until = this->now + seconds(this->random.Below(30));
       } else {
-        holder.away = !holder.away;
+        holder.disconnected = !holder.disconnected;
       }
       this->Run(seconds(this->random.Below(15)));
     }
     this->faults = 0;
     for (Holder& holder : this->holders) {
-      holder.away = false;
+      holder.disconnected = false;
     }
     this->Run(seconds(70));
     INFO("seed " << seed);
@@ -234,7 +239,7 @@
   }
 }
 
-TEST_CASE("lease record, malformed text, is nothing") {
+TEST_CASE("lease record, malformed JSON, is rejected") {
   CHECK_FALSE(ReadLeaseRecord("").has_value());
   CHECK_FALSE(ReadLeaseRecord("[]").has_value());
   CHECK_FALSE(ReadLeaseRecord(R"({"holder":3,"epoch":1})").has_value());
