--- a/src/dispatch/core_grant.cc
+++ b/src/dispatch/core_grant.cc
@@ -97,7 +97,7 @@
   }
   const auto submit = this->ToSubmitRequest(message);
   const bool has_open_worker =
-      submit && this->router.AnyOpen(
+      submit && this->router.AnyAvailable(
                     this->now, this->workers.OwnedWorkersOf(submit->target),
                     submit->excluded);
   if (!has_open_worker) {
--- a/src/dispatch/limit_table.cc
+++ b/src/dispatch/limit_table.cc
@@ -34,11 +34,11 @@
   }
 }
 
-LimitAnswer LimitTable::Begin(Instant now, const OrganisationId& organisation,
-                              bool is_retry) {
+LimitDecision LimitTable::Begin(Instant now, const OrganisationId& organisation,
+                                bool is_retry) {
   const auto it = this->organisations.find(organisation);
   return it == this->organisations.end()
-             ? LimitAnswer::kWithin
+             ? LimitDecision::kWithin
              : it->second.local.Begin(now, is_retry);
 }
 
@@ -50,7 +50,7 @@
 }
 
 Duration LimitTable::RetryAfter(Instant now, const OrganisationId& organisation,
-                                LimitAnswer decision) const {
+                                LimitDecision decision) const {
   const auto it = this->organisations.find(organisation);
   return it == this->organisations.end()
              ? Duration{0}
@@ -60,14 +60,15 @@
 std::vector<LimitRequest> LimitTable::CollectLimitRequests(Instant now) {
   std::map<HostId, std::vector<OrganisationShare>> by_owner;
   for (auto& [organisation, limits] : this->organisations) {
-    const bool needs_share = limits.local.Pressed(now);
-    const LimitShare demand = limits.local.TakeWanted(now);
+    const bool needs_share = limits.local.ShouldRequestShare(now);
+    const LimitShare demand = limits.local.TakeDemand(now);
     if (!needs_share || this->live.size() < 2) {
       continue;
     }
     if (limits.owner == this->self) {
-      const LimitShare share = limits.allocator.Ask(now, this->self, demand);
-      limits.local.Grant(share, now + kShareLasts);
+      const LimitShare share =
+          limits.allocator.Allocate(now, this->self, demand);
+      limits.local.Grant(share, now + kShareLifetime);
     } else {
       by_owner[limits.owner].push_back({organisation, demand});
     }
@@ -89,7 +90,8 @@
     if (it == this->organisations.end()) {
       continue;
     }
-    const LimitShare share = it->second.allocator.Ask(now, from, demand.share);
+    const LimitShare share =
+        it->second.allocator.Allocate(now, from, demand.share);
     shares.push_back({demand.organisation, share});
   }
   return shares;
@@ -100,7 +102,7 @@
   for (const OrganisationShare& each : shares) {
     const auto it = this->organisations.find(each.organisation);
     if (it != this->organisations.end()) {
-      it->second.local.Grant(each.share, now + kShareLasts);
+      it->second.local.Grant(each.share, now + kShareLifetime);
     }
   }
 }
--- a/src/gateway/forwarding_migration.cc
+++ b/src/gateway/forwarding_migration.cc
@@ -39,9 +39,9 @@
     return;
   }
   const ForwardingService* service =
-      first->second.table->Service(worker.service);
+      first->second.table->FindService(worker.service);
   if (service == nullptr || !service->engine.has_value() ||
-      !service->engine->can_move) {
+      !service->engine->supports_migration) {
     return;
   }
   this->RequestReport(worker, true, noticed_at);
@@ -113,7 +113,7 @@
   load.waiting = report->queued;
   load.memory_tokens = report->memory_in_use;
   load.lag = kReportLag;
-  this->loads.Report(now, call.worker.id, load);
+  this->loads.ApplyReport(now, call.worker.id, load);
 }
 
 bool Forwarding::OnMigrationHead(const HttpHead& head) {
@@ -211,7 +211,7 @@
     destinations.push_back({worker->id, worker->domain != call.worker.domain});
   }
   const ForwardingService* service =
-      local.front()->table->Service(call.worker.service);
+      local.front()->table->FindService(call.worker.service);
   TransferSpeed speed;
   if (service != nullptr && service->engine.has_value()) {
     speed = {service->engine->bytes_per_token, service->engine->link_mbps};
