--- a/bench/fleet_document.cc
+++ b/bench/fleet_document.cc
@@ -69,7 +69,7 @@
   std::size_t faults = 0;
   const Clock::time_point parsing = Clock::now();
   for (int i = 0; i < kTimes; ++i) {
-    faults += ParseFleet(text).faults.size();
+    faults += ParseFleet(text).errors.size();
   }
   const double parse_ms = MillisecondsSince(parsing) / kTimes;
   const std::size_t before = mallinfo2().uordblks;
--- a/bench/hosts.cc
+++ b/bench/hosts.cc
@@ -169,7 +169,7 @@
   const Instant began = group->now;
   for (int i = 0; i < count; ++i) {
     const Instant written = group->now;
-    group->on_adopted = [&](std::size_t, const ConfigurationAdopted&) {
+    group->on_adopted = [&](std::size_t, const ConfigurationApplied&) {
       spread.push_back(ToSeconds(group->now - written));
     };
     group->WriteDocument(Document(bytes, static_cast<std::uint64_t>(i) + 2));
--- a/fakes/fake_engine_main.cc
+++ b/fakes/fake_engine_main.cc
@@ -10,7 +10,7 @@
                                     "Stands in for a model engine in tests.");
   parser
       .Address("listen", "address to serve on, ip:port", &listen,
-               limpetlink::Need::kRequired)
+               limpetlink::Requirement::kRequired)
       .Text("model", "the model it serves", &settings.model)
       .Text("model-version", "the model's version", &settings.version)
       .Number("memory-tokens", "its memory, in tokens", &settings.memory_tokens,
--- a/fakes/fake_platform_main.cc
+++ b/fakes/fake_platform_main.cc
@@ -6,7 +6,7 @@
   limpetlink::SettingsParser parser("limpet-fake-platform",
                                     "Stands in for the platform in tests.");
   parser.Address("listen", "address to serve on, ip:port", &listen,
-                 limpetlink::Need::kRequired);
+                 limpetlink::Requirement::kRequired);
   if (const std::optional<int> code = parser.ParseOrExitCode(argc, argv)) {
     return *code;
   }
--- a/programs/limpet_entry/main.cc
+++ b/programs/limpet_entry/main.cc
@@ -35,7 +35,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  using limpetlink::Need;
+  using limpetlink::Requirement;
   if (const auto path = limpetlink::platform::SettingsPath()) {
     return limpetlink::RunGatewayProcess(*path);
   }
@@ -45,23 +45,25 @@
       (std::uint64_t{std::random_device()()} << 32U) | std::random_device()();
   limpetlink::SettingsParser parser("limpet-entry",
                                     "Serves callers of a fleet.");
-  parser.Text("host-id", "name of this host", &host.self.value, Need::kRequired)
+  parser
+      .Text("host-id", "name of this host", &host.self.value,
+            Requirement::kRequired)
       .Text("failure-domain", "where it stands", &host.failure_domain.value,
-            Need::kRequired)
+            Requirement::kRequired)
       .Address("listen", "address for callers, ip:port", &settings.listen,
-               Need::kRequired)
+               Requirement::kRequired)
       .Address("peer-address", "address at which peers reach it, ip:port",
-               &host.peer_address, Need::kRequired)
+               &host.peer_address, Requirement::kRequired)
       .Address("peer-listen", "address for peers to bind, if another one",
                &settings.peer_listen)
       .Checked("peer-secret", "secret that all hosts share",
-               SecretInto(&settings.peer_secret), Need::kRequired)
+               SecretInto(&settings.peer_secret), Requirement::kRequired)
       .Checked("resume-secret", "key of the resume tokens, equal on all hosts",
-               SecretInto(&host.resume_secret), Need::kRequired)
+               SecretInto(&host.resume_secret), Requirement::kRequired)
       .Text("platform", "URL of the platform, http://ip:port",
-            &host.platform_url, Need::kRequired)
+            &host.platform_url, Requirement::kRequired)
       .Text("fleet", "name of the fleet document", &host.fleet_name,
-            Need::kRequired)
+            Requirement::kRequired)
       .Checked("operator-key-digest",
                "SHA-256 of the operators' key, hexadecimal",
                DigestInto(&host.operator_key_digest))
--- a/programs/limpet_placement/main.cc
+++ b/programs/limpet_placement/main.cc
@@ -46,7 +46,7 @@
 }  // namespace limpetlink
 
 int main(int argc, char** argv) {
-  using limpetlink::Need;
+  using limpetlink::Requirement;
   limpetlink::PlacementHostSettings settings;
   limpetlink::LogLevel level = limpetlink::LogLevel::kInfo;
   settings.seed =
@@ -56,11 +56,11 @@
       "Brings engines to the state that the fleet document wants.");
   parser
       .Text("host-id", "name of this host", &settings.self.value,
-            Need::kRequired)
+            Requirement::kRequired)
       .Text("platform", "URL of the platform, http://ip:port",
-            &settings.platform_url, Need::kRequired)
+            &settings.platform_url, Requirement::kRequired)
       .Text("fleet", "name of the fleet document", &settings.fleet_name,
-            Need::kRequired)
+            Requirement::kRequired)
       .Text("model", "only engines of this model", &settings.model)
       .Choice("log-level", "debug, info, warning or error", &level);
   if (const std::optional<int> code = parser.ParseOrExitCode(argc, argv)) {
--- a/programs/limpetctl/document_commands.cc
+++ b/programs/limpetctl/document_commands.cc
@@ -15,17 +15,18 @@
   CommandResult result;  ///< kOk when the document is valid
 };
 
-std::string FaultLine(const std::string& path, const FleetFault& fault) {
+std::string FaultLine(const std::string& path,
+                      const FleetValidationError& fault) {
   const std::string place = fault.pointer.empty() ? "/" : fault.pointer;
   return absl::StrCat(path, ": ", place, " ", fault.message, "\n");
 }
 
 CommandResult FaultsResult(const std::string& path,
-                           const std::vector<FleetFault>& faults) {
+                           const std::vector<FleetValidationError>& faults) {
   CommandResult result;
   result.code = ExitCode::kFailed;
   result.json = {{"valid", false}, {"file", path}, {"faults", Json::array()}};
-  for (const FleetFault& fault : faults) {
+  for (const FleetValidationError& fault : faults) {
     result.text += FaultLine(path, fault);
     result.json["faults"].push_back(
         {{"pointer", fault.pointer}, {"message", fault.message}});
@@ -46,7 +47,7 @@
   }
   FleetParseResult parsed = ParseFleet(text.str());
   if (!parsed.Ok()) {
-    loaded.result = FaultsResult(path, parsed.faults);
+    loaded.result = FaultsResult(path, parsed.errors);
   }
   loaded.document = std::move(parsed.document);
   return loaded;
--- a/src/configuration/apply.cc
+++ b/src/configuration/apply.cc
@@ -59,20 +59,20 @@
   return fleet_name + "/" + std::string(missing, '0') + digits;
 }
 
-ApplyFleet::ApplyFleet(MetadataStoreClient* platform, FleetChange change,
-                       Duration limit)
+FleetChangeOperation::FleetChangeOperation(MetadataStoreClient* platform,
+                                           FleetChange change, Duration limit)
     : platform(platform), change(std::move(change)), limit(limit) {}
 
-void ApplyFleet::Start(Instant now) {
+void FleetChangeOperation::Start(Instant now) {
   this->deadline = now + this->limit;
   this->Begin(now, Step::kRead);
 }
 
-bool ApplyFleet::IsOwn(std::string_view json) const {
+bool FleetChangeOperation::IsOwn(std::string_view json) const {
   return ChangeIdOf(json) == this->change.change_id;
 }
 
-void ApplyFleet::Begin(Instant now, Step step) {
+void FleetChangeOperation::Begin(Instant now, Step step) {
   const ObjectKey fleet{std::string(kFleetKind), this->change.fleet_name};
   const std::string history(kFleetHistoryKind);
   const std::uint64_t base = this->change.base_version;
@@ -109,12 +109,12 @@
   }
 }
 
-void ApplyFleet::Again(Instant now) {
+void FleetChangeOperation::Again(Instant now) {
   this->op = 0;
   this->again_at = now + kPause;
 }
 
-bool ApplyFleet::OnPlatform(Instant now, const StoreResult& result) {
+bool FleetChangeOperation::OnPlatform(Instant now, const StoreResult& result) {
   if (this->op == 0 || result.op.value != this->op) {
     return false;
   }
@@ -141,7 +141,7 @@
   return true;
 }
 
-void ApplyFleet::HandleRead(Instant now, const StoreResult& read) {
+void FleetChangeOperation::HandleRead(Instant now, const StoreResult& read) {
   const std::uint64_t base = this->change.base_version;
   if (read.status == StoreStatus::kAbsent) {
     if (base == 0) {
@@ -168,7 +168,8 @@
   }
 }
 
-void ApplyFleet::HandleArchive(Instant now, const StoreResult& answer) {
+void FleetChangeOperation::HandleArchive(Instant now,
+                                         const StoreResult& answer) {
   const bool kept =
       Ran(answer.status) || answer.status == StoreStatus::kConflict;
   if (kept) {
@@ -178,7 +179,7 @@
   }
 }
 
-void ApplyFleet::HandleWrite(Instant now, const StoreResult& answer) {
+void FleetChangeOperation::HandleWrite(Instant now, const StoreResult& answer) {
   switch (answer.status) {
     case StoreStatus::kOk:
       this->Applied(now, answer.version);
@@ -200,7 +201,8 @@
   }
 }
 
-void ApplyFleet::HandleReadBack(Instant now, const StoreResult& read) {
+void FleetChangeOperation::HandleReadBack(Instant now,
+                                          const StoreResult& read) {
   const std::uint64_t base = this->change.base_version;
   const WriteCondition condition =
       base == 0 ? WriteCondition::IfAbsent() : WriteCondition::IfVersion(base);
@@ -231,7 +233,7 @@
   }
 }
 
-void ApplyFleet::HandleHistory(Instant now, const StoreResult& read) {
+void FleetChangeOperation::HandleHistory(Instant now, const StoreResult& read) {
   if (read.status == StoreStatus::kAbsent) {
     // Whoever wrote version base + 2 did not keep the history: nobody can tell.
     this->End(ApplyOutcome::kUnknown);
@@ -248,12 +250,12 @@
   }
 }
 
-void ApplyFleet::Applied(Instant now, std::uint64_t version) {
+void FleetChangeOperation::Applied(Instant now, std::uint64_t version) {
   this->End(ApplyOutcome::kApplied);
   this->result->version = version;
   this->result->current_version = std::max(version, this->seen_version);
-  if (version > kKeptHistory) {
-    const std::uint64_t old = version - kKeptHistory;
+  if (version > kMaxHistoryVersions) {
+    const std::uint64_t old = version - kMaxHistoryVersions;
     this->platform->Delete(now,
                            {std::string(kFleetHistoryKind),
                             HistoryName(this->change.fleet_name, old)},
@@ -261,7 +263,7 @@
   }
 }
 
-void ApplyFleet::Conflict() {
+void FleetChangeOperation::Conflict() {
   this->End(ApplyOutcome::kConflict);
   this->result->current_version = this->seen_version;
   this->result->current_text = this->seen_text;
@@ -269,7 +271,7 @@
       DifferenceAsPatch(this->change.base_text, this->seen_text);
 }
 
-void ApplyFleet::End(ApplyOutcome outcome) {
+void FleetChangeOperation::End(ApplyOutcome outcome) {
   this->step = Step::kDone;
   this->op = 0;
   this->again_at = kNever;
@@ -278,7 +280,7 @@
   this->result->outcome = outcome;
 }
 
-void ApplyFleet::Tick(Instant now) {
+void FleetChangeOperation::Tick(Instant now) {
   if (this->result) {
     return;
   }
@@ -296,7 +298,7 @@
   }
 }
 
-Instant ApplyFleet::NextWakeup() const {
+Instant FleetChangeOperation::NextWakeup() const {
   return std::min(this->deadline, this->again_at);
 }
 
--- a/src/configuration/delta.cc
+++ b/src/configuration/delta.cc
@@ -36,8 +36,8 @@
   const std::size_t tail = CommonTail(old_text, new_text, shorter - head);
   DocumentDelta delta;
   delta.form = DeltaForm::kSplice;
-  delta.keep_head = head;
-  delta.keep_tail = tail;
+  delta.prefix_bytes = head;
+  delta.suffix_bytes = tail;
   delta.bytes =
       std::string(new_text.substr(head, new_text.size() - head - tail));
   return delta;
@@ -64,14 +64,14 @@
 
 absl::StatusOr<std::string> ApplySplice(const DocumentDelta& delta,
                                         std::string_view base_text) {
-  const bool fits = delta.keep_head <= base_text.size() &&
-                    delta.keep_tail <= base_text.size() - delta.keep_head;
+  const bool fits = delta.prefix_bytes <= base_text.size() &&
+                    delta.suffix_bytes <= base_text.size() - delta.prefix_bytes;
   if (!fits) {
     return Misfit();
   }
-  std::string text(base_text.substr(0, delta.keep_head));
+  std::string text(base_text.substr(0, delta.prefix_bytes));
   text += delta.bytes;
-  text += base_text.substr(base_text.size() - delta.keep_tail);
+  text += base_text.substr(base_text.size() - delta.suffix_bytes);
   return text;
 }
 
@@ -96,10 +96,10 @@
   }
   if (delta.bytes.size() + kSpliceOverhead >= new_text.size()) {
     delta = DocumentDelta{};
-    delta.form = DeltaForm::kWhole;
+    delta.form = DeltaForm::kFull;
     delta.bytes = std::string(new_text);
   }
-  delta.from = delta.form == DeltaForm::kWhole ? 0 : from;
+  delta.from = delta.form == DeltaForm::kFull ? 0 : from;
   delta.to = to;
   delta.digest = StableHash(new_text);
   return delta;
--- a/src/configuration/detail/apply.h
+++ b/src/configuration/detail/apply.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief ApplyFleet: an operator's change of the fleet document, told truly
-/// even when an answer is lost and others change it too.
+/// @brief FleetChangeOperation: an operator's change of the fleet document,
+/// told truly even when an answer is lost and others change it too.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 /// @brief Kind of the objects that tell whose change each version was.
 inline constexpr std::string_view kFleetHistoryKind = "fleet-history";
 /// @brief Versions whose history is kept; more than a day of 7,000 changes.
-inline constexpr std::uint64_t kKeptHistory = 10000;
+inline constexpr std::uint64_t kMaxHistoryVersions = 10000;
 
 /// @brief A change that an operator wants.
 struct FleetChange {
@@ -75,18 +75,18 @@
 /// was lost and which others have covered since is found there.
 /// @note Example:
 /// @code
-/// ApplyFleet apply(&platform, change, limit);
+/// FleetChangeOperation apply(&platform, change, limit);
 /// apply.Start(now);
 /// while (!apply.Result()) { ... apply.OnPlatform(now, result);
 /// apply.Tick(now); }
 /// @endcode
-class ApplyFleet {
+class FleetChangeOperation {
  public:
   /// @param platform client to use; outlives this
   /// @param change what is wanted
   /// @param limit an answer is given by then at the latest
-  ApplyFleet(MetadataStoreClient* platform, FleetChange change,
-             Duration limit = std::chrono::seconds(30));
+  FleetChangeOperation(MetadataStoreClient* platform, FleetChange change,
+                       Duration limit = std::chrono::seconds(30));
 
   /// @brief Begins.
   void Start(Instant now);
--- a/src/configuration/detail/delta.h
+++ b/src/configuration/detail/delta.h
@@ -15,7 +15,7 @@
 enum class DeltaForm {
   kPatch,   ///< JSON patch: small for changes in several places
   kSplice,  ///< one replaced run of bytes: small where a row comes or goes
-  kWhole,   ///< the whole document
+  kFull,    ///< the whole document
 };
 
 template <>
@@ -23,18 +23,18 @@
   static constexpr EnumName<DeltaForm> kRows[] = {
       {DeltaForm::kPatch, "patch"},
       {DeltaForm::kSplice, "splice"},
-      {DeltaForm::kWhole, "whole"}};
+      {DeltaForm::kFull, "whole"}};
 };
 
 /// @brief Leads from one version's text to another's.
 struct DocumentDelta {
-  std::uint64_t from = 0;  ///< version; 0 for kWhole
+  std::uint64_t from = 0;  ///< version; 0 for kFull
   std::uint64_t to = 0;
-  DeltaForm form = DeltaForm::kWhole;
-  std::uint64_t keep_head = 0;  ///< bytes kept at the front, for kSplice
-  std::uint64_t keep_tail = 0;  ///< bytes kept at the end, for kSplice
-  std::string bytes;            ///< patch, replaced run or document
-  std::uint64_t digest = 0;     ///< StableHash of the resulting text
+  DeltaForm form = DeltaForm::kFull;
+  std::uint64_t prefix_bytes = 0;  ///< bytes kept at the front, for kSplice
+  std::uint64_t suffix_bytes = 0;  ///< bytes kept at the end, for kSplice
+  std::string bytes;               ///< patch, replaced run or document
+  std::uint64_t digest = 0;        ///< StableHash of the resulting text
 };
 
 /// @brief Brings JSON to its one canonical text (sorted members, no spaces).
--- a/src/configuration/detail/store.h
+++ b/src/configuration/detail/store.h
@@ -32,18 +32,18 @@
   double shared_polls_per_second = 5.0;           ///< of all hosts together
   Duration digest_interval{std::chrono::seconds(2)};
   Duration pull_timeout{std::chrono::seconds(1)};
-  std::uint32_t announce_to = 4;  ///< neighbours told of a new version
-  Duration spreading_time{std::chrono::seconds(13)};
-  std::uint32_t outage_peers = 3;  ///< answers needed to begin in an outage
-  Duration frozen_margin{std::chrono::seconds(3)};  ///< a longer gap between
-                                                    ///< steps asks for a
-                                                    ///< refresh
-  std::size_t kept_delta_bytes = 256UL * 1024UL;
-  double wholes_per_second = 2.0;  ///< whole documents sent to peers
+  std::uint32_t announce_count = 4;  ///< neighbours told of a new version
+  Duration propagation_time{std::chrono::seconds(13)};
+  std::uint32_t outage_quorum = 3;  ///< answers needed to begin in an outage
+  Duration freeze_threshold{std::chrono::seconds(3)};  ///< a longer gap between
+                                                       ///< steps asks for a
+                                                       ///< refresh
+  std::size_t max_delta_bytes = 256UL * 1024UL;
+  double full_documents_per_second = 2.0;  ///< whole documents sent to peers
   std::uint64_t seed = 1;
 };
 
-/// @brief Says whether a document may be adopted, as by ParseFleet.
+/// @brief Says whether a document may be applied, as by ParseFleet.
 using ValidateDocument = std::function<absl::Status(std::string_view text)>;
 
 /// @brief Send a payload of kind kConfiguration to a peer; may be lost.
@@ -53,23 +53,24 @@
 };
 
 /// @brief A newer version is in force from now on.
-struct ConfigurationAdopted {
+struct ConfigurationApplied {
   std::uint64_t version = 0;
   std::string text;  ///< canonical JSON, accepted by ValidateDocument
 };
 
 /// @brief What the store orders.
 using ConfigurationAction =
-    std::variant<ConfigurationSend, ConfigurationAdopted>;
+    std::variant<ConfigurationSend, ConfigurationApplied>;
 
 /// @brief Counted since the start.
 struct ConfigurationCounters {
-  std::uint64_t adopted = 0;
-  std::uint64_t refused_documents = 0;  ///< did not parse or validate
-  std::uint64_t refused_messages = 0;   ///< malformed, from peers
+  std::uint64_t applied = 0;
+  std::uint64_t rejected_documents = 0;  ///< did not parse or validate
+  std::uint64_t rejected_messages = 0;   ///< malformed, from peers
   std::uint64_t deltas_sent = 0;
-  std::uint64_t wholes_sent = 0;
-  std::uint64_t deltas_misfit = 0;  ///< did not fit the base; whole asked for
+  std::uint64_t full_documents_sent = 0;
+  std::uint64_t mismatched_deltas =
+      0;  ///< did not fit the base; whole asked for
   std::uint64_t platform_calls = 0;
 };
 
@@ -93,7 +94,7 @@
  public:
   /// @param settings who this host is, and times
   /// @param platform the host's client; outlives the store
-  /// @param validate judges a document before it is adopted
+  /// @param validate judges a document before it is applied
   ConfigurationStore(ConfigurationSettings settings,
                      MetadataStoreClient* platform, ValidateDocument validate);
 
@@ -143,7 +144,7 @@
   std::string Digest(Instant now) const;
 
   /// @return whether this host is one of the watchers
-  bool Watches() const { return this->watching; }
+  bool IsWatcher() const { return this->watching; }
 
   /// @return counted since the start
   const ConfigurationCounters& Counters() const { return this->counters; }
--- a/src/configuration/spread.cc
+++ b/src/configuration/spread.cc
@@ -36,7 +36,7 @@
   this->NoticeGap(now);
   const auto message = DecodeConfiguration(bytes);
   if (!message.ok()) {
-    ++this->counters.refused_messages;
+    ++this->counters.rejected_messages;
     return;
   }
   if (const auto* digest = std::get_if<ConfigurationDigest>(&*message)) {
@@ -68,7 +68,7 @@
                                           const ConfigurationDigest& digest) {
   const bool counts =
       !this->ready && digest.ready &&
-      now - this->refresh_began >= this->settings.spreading_time &&
+      now - this->refresh_began >= this->settings.propagation_time &&
       digest.version <= std::max(this->version, this->refused_version);
   if (counts) {
     this->outage_answers.insert(from);
@@ -128,8 +128,8 @@
 }
 
 bool ConfigurationStore::TakeWholeToken(Instant now) {
-  const double gained =
-      ToSeconds(now - this->whole_at) * this->settings.wholes_per_second;
+  const double gained = ToSeconds(now - this->whole_at) *
+                        this->settings.full_documents_per_second;
   this->whole_tokens = std::min(kWholeBurst, this->whole_tokens + gained);
   this->whole_at = now;
   if (this->whole_tokens < 1.0) {
@@ -152,7 +152,7 @@
   if (!answer.deltas.empty()) {
     ++this->counters.deltas_sent;
   } else if (this->TakeWholeToken(now)) {
-    ++this->counters.wholes_sent;
+    ++this->counters.full_documents_sent;
     DocumentDelta whole;
     whole.to = this->version;
     whole.bytes = this->text;
@@ -173,13 +173,13 @@
   std::string text = this->text;
   std::vector<const DocumentDelta*> used;
   for (const DocumentDelta& delta : message.deltas) {
-    const bool whole = delta.form == DeltaForm::kWhole;
+    const bool whole = delta.form == DeltaForm::kFull;
     if (delta.to <= at || (!whole && delta.from != at)) {
       continue;
     }
     auto next = ApplyDelta(delta, text);
     if (!next.ok()) {
-      ++this->counters.deltas_misfit;
+      ++this->counters.mismatched_deltas;
       this->SendPull(now, from, 0, delta.to);
       return;
     }
@@ -222,7 +222,8 @@
 }
 
 void ConfigurationStore::Announce(Instant now) {
-  for (const HostId& peer : this->PickNeighbours(this->settings.announce_to)) {
+  for (const HostId& peer :
+       this->PickNeighbours(this->settings.announce_count)) {
     this->Send(peer, this->Digest(now));
   }
 }
--- a/src/configuration/store.cc
+++ b/src/configuration/store.cc
@@ -45,7 +45,7 @@
 
 void ConfigurationStore::NoticeGap(Instant now) {
   const bool frozen =
-      this->started && now - this->last_step > this->settings.frozen_margin;
+      this->started && now - this->last_step > this->settings.freeze_threshold;
   this->last_step = std::max(this->last_step, now);
   if (frozen) {
     this->Refresh(now);
@@ -147,7 +147,7 @@
   const auto canonical = CanonicalText(text);
   const bool valid = canonical.ok() && this->validate(*canonical).ok();
   if (!valid) {
-    ++this->counters.refused_documents;
+    ++this->counters.rejected_documents;
     this->refused_version = std::max(this->refused_version, version);
     return false;
   }
@@ -159,21 +159,21 @@
   this->version = version;
   this->text = *canonical;
   this->confirmed_at.reset();
-  ++this->counters.adopted;
-  this->actions.emplace_back(ConfigurationAdopted{version, this->text});
+  ++this->counters.applied;
+  this->actions.emplace_back(ConfigurationApplied{version, this->text});
   this->Announce(now);
   return true;
 }
 
 void ConfigurationStore::Keep(DocumentDelta delta) {
-  if (delta.form == DeltaForm::kWhole) {
+  if (delta.form == DeltaForm::kFull) {
     this->deltas.clear();
     this->delta_bytes = 0;
     return;
   }
   this->delta_bytes += delta.bytes.size();
   this->deltas.push_back(std::move(delta));
-  while (this->delta_bytes > this->settings.kept_delta_bytes) {
+  while (this->delta_bytes > this->settings.max_delta_bytes) {
     this->delta_bytes -= this->deltas.front().bytes.size();
     this->deltas.erase(this->deltas.begin());
   }
@@ -224,7 +224,7 @@
     return;
   }
   this->next_outage_ask = now + kAskPeersEvery;
-  const std::uint32_t count = this->settings.outage_peers + kExtraOutagePeers;
+  const std::uint32_t count = this->settings.outage_quorum + kExtraOutagePeers;
   for (const HostId& peer : this->PickNeighbours(count)) {
     this->Send(peer, EncodeConfiguration(ConfigurationPull{this->version}));
   }
@@ -233,9 +233,9 @@
 void ConfigurationStore::CheckOutageStart(Instant now) {
   const std::size_t others = this->live.size() - 1;
   const std::size_t needed =
-      std::min<std::size_t>(this->settings.outage_peers, others);
+      std::min<std::size_t>(this->settings.outage_quorum, others);
   const bool waited =
-      now - this->refresh_began >= this->settings.spreading_time;
+      now - this->refresh_began >= this->settings.propagation_time;
   const bool enough = needed > 0 && this->outage_answers.size() >= needed;
   if (waited && enough && this->version != 0 && this->pull.version == 0) {
     this->ready = true;
--- a/src/configuration/tests/apply_test.cc
+++ b/src/configuration/tests/apply_test.cc
@@ -49,7 +49,7 @@
     change.base_version = 4;
     change.base_text = Text("base");
     change.text = Text("mine");
-    ApplyFleet apply(this->client.get(), change);
+    FleetChangeOperation apply(this->client.get(), change);
     apply.Start(this->now);
     while (!apply.Result()) {
       this->Carry(&apply);
@@ -61,7 +61,7 @@
     return *apply.Result();
   }
 
-  void Carry(ApplyFleet* apply) {
+  void Carry(FleetChangeOperation* apply) {
     this->RunLate(this->now);
     for (const Action& action : this->client->TakeActions()) {
       if (const auto* call = std::get_if<HttpCall>(&action)) {
--- a/src/configuration/tests/store_test.cc
+++ b/src/configuration/tests/store_test.cc
@@ -89,7 +89,7 @@
   }
   CHECK(this->store.Version() == 5);
   CHECK(this->store.Text() == R"({"mark":"v5"})");
-  CHECK(this->store.Counters().adopted == 1);
+  CHECK(this->store.Counters().applied == 1);
 }
 
 TEST_CASE_METHOD(StoreFixture,
@@ -109,11 +109,11 @@
   ConfigurationDeltas message;
   message.digest = {6, std::nullopt, true};
   message.deltas.push_back(
-      {0, 6, DeltaForm::kWhole, 0, 0, R"({"mark":"v6"})", 1});
+      {0, 6, DeltaForm::kFull, 0, 0, R"({"mark":"v6"})", 1});
   this->store.OnPeer(this->now, HostId{"entry-2"},
                      EncodeConfiguration(message));
   CHECK(this->store.Version() == 5);
-  CHECK(this->store.Counters().deltas_misfit == 1);
+  CHECK(this->store.Counters().mismatched_deltas == 1);
 }
 
 }  // namespace
--- a/src/configuration/wire.cc
+++ b/src/configuration/wire.cc
@@ -28,8 +28,9 @@
 
 Json DeltaJson(const DocumentDelta& delta) {
   return Json::array({delta.from, delta.to,
-                      static_cast<std::uint64_t>(delta.form), delta.keep_head,
-                      delta.keep_tail, CborBinary(delta.bytes), delta.digest});
+                      static_cast<std::uint64_t>(delta.form),
+                      delta.prefix_bytes, delta.suffix_bytes,
+                      CborBinary(delta.bytes), delta.digest});
 }
 
 bool ReadDigest(const Json& value, ConfigurationDigest* digest) {
@@ -60,14 +61,14 @@
     }
   }
   const auto form = value[2].get<std::uint64_t>();
-  if (form > static_cast<std::uint64_t>(DeltaForm::kWhole)) {
+  if (form > static_cast<std::uint64_t>(DeltaForm::kFull)) {
     return false;
   }
   delta->from = value[0].get<std::uint64_t>();
   delta->to = value[1].get<std::uint64_t>();
   delta->form = static_cast<DeltaForm>(form);
-  delta->keep_head = value[3].get<std::uint64_t>();
-  delta->keep_tail = value[4].get<std::uint64_t>();
+  delta->prefix_bytes = value[3].get<std::uint64_t>();
+  delta->suffix_bytes = value[4].get<std::uint64_t>();
   delta->digest = value[6].get<std::uint64_t>();
   return ReadCborBinary(value[5], &delta->bytes);
 }
--- a/src/entry/cluster_sync.cc
+++ b/src/entry/cluster_sync.cc
@@ -254,7 +254,7 @@
 void ClusterSync::Execute(const ConfigurationAction& action) {
   if (const auto* send = std::get_if<ConfigurationSend>(&action)) {
     this->SendToPeer(send->to, PeerKind::kConfiguration, send->bytes);
-  } else if (const auto* applied = std::get_if<ConfigurationAdopted>(&action)) {
+  } else if (const auto* applied = std::get_if<ConfigurationApplied>(&action)) {
     this->ApplyDocument(*applied);
   }
 }
@@ -271,7 +271,7 @@
   return absl::OkStatus();
 }
 
-void ClusterSync::ApplyDocument(const ConfigurationAdopted& applied) {
+void ClusterSync::ApplyDocument(const ConfigurationApplied& applied) {
   const bool known =
       applied.text == this->validated_text || this->Validate(applied.text).ok();
   if (!known || applied.version <= this->shared.fleet_version) {
--- a/src/entry/detail/cluster_sync.h
+++ b/src/entry/detail/cluster_sync.h
@@ -99,7 +99,7 @@
   void OnHostList(const HostListRead& host_list);
   void OnBroadcast(const Broadcast& item);
   absl::Status Validate(std::string_view text);
-  void ApplyDocument(const ConfigurationAdopted& applied);
+  void ApplyDocument(const ConfigurationApplied& applied);
   void SendToPeer(const HostId& to, PeerKind kind, std::string payload);
   void ApplyLeaving(const UpstreamId& upstream, LeavingSource source,
                     bool is_leaving);
--- a/src/entry/operator_endpoints.cc
+++ b/src/entry/operator_endpoints.cc
@@ -67,7 +67,7 @@
       {"fleet_version", this->shared.fleet_version},
       {"change_id",
        has_document ? this->shared.document->change_id : std::string()},
-      {"watches", configuration.Watches()},
+      {"watches", configuration.IsWatcher()},
       {"live_hosts", live}};
   ReplyJson(this->shared.actions, id, 200, status);
 }
--- a/src/fleet/check.cc
+++ b/src/fleet/check.cc
@@ -14,7 +14,7 @@
 /// Remembers where each text stood first and reports the second place.
 class FirstPlaces {
  public:
-  explicit FirstPlaces(FleetFaults* faults) : faults(faults) {}
+  explicit FirstPlaces(FleetValidationErrors* errors) : errors(errors) {}
 
   void Add(const std::string& text, const std::string& pointer) {
     if (text.empty()) {
@@ -22,14 +22,14 @@
     }
     const auto [place, added] = this->places.emplace(text, pointer);
     if (!added) {
-      this->faults->push_back(
+      this->errors->push_back(
           {pointer, absl::StrCat("stands already at ", place->second)});
     }
   }
 
  private:
   std::map<std::string, std::string> places;
-  FleetFaults* faults;
+  FleetValidationErrors* errors;
 };
 
 std::string At(std::string_view list, std::size_t index,
@@ -41,16 +41,17 @@
 /// Checks one member of every element of a list for texts that stand twice.
 template <typename T, typename Get>
 void CheckUnique(const std::vector<T>& elements, std::string_view list,
-                 std::string_view member, Get get, FleetFaults* faults) {
-  FirstPlaces places(faults);
+                 std::string_view member, Get get,
+                 FleetValidationErrors* errors) {
+  FirstPlaces places(errors);
   for (std::size_t i = 0; i < elements.size(); ++i) {
     places.Add(get(elements[i]), At(list, i, member));
   }
 }
 
 void CheckKeyDigests(const std::vector<Organisation>& organisations,
-                     FleetFaults* faults) {
-  FirstPlaces places(faults);
+                     FleetValidationErrors* errors) {
+  FirstPlaces places(errors);
   for (std::size_t i = 0; i < organisations.size(); ++i) {
     const std::string list = At("organisations", i, "key_digests");
     const auto& digests = organisations[i].key_digests;
@@ -60,9 +61,10 @@
   }
 }
 
-void CheckAdapters(const std::vector<Model>& models, FleetFaults* faults) {
+void CheckAdapters(const std::vector<Model>& models,
+                   FleetValidationErrors* errors) {
   for (std::size_t i = 0; i < models.size(); ++i) {
-    FirstPlaces places(faults);
+    FirstPlaces places(errors);
     const std::string list = At("models", i, "adapters");
     for (std::size_t k = 0; k < models[i].adapters.size(); ++k) {
       places.Add(models[i].adapters[k], ElementPointer(list, k));
@@ -88,16 +90,17 @@
 
 void CheckKnown(const std::set<std::string>& known, const std::string& text,
                 const std::string& pointer, std::string_view what,
-                FleetFaults* faults) {
+                FleetValidationErrors* errors) {
   if (!text.empty() && known.count(text) == 0) {
-    faults->push_back(
+    errors->push_back(
         {pointer,
          absl::StrCat("names no ", absl::string_view(what.data(), what.size()),
                       " of this document: ", text)});
   }
 }
 
-void CheckUpstreams(const FleetDocument& document, FleetFaults* faults) {
+void CheckUpstreams(const FleetDocument& document,
+                    FleetValidationErrors* errors) {
   const auto models = Collect(document.models, NameOfModel);
   const auto services = Collect(document.services, NameOfService);
   const auto domains = Collect(document.failure_domains, IdOfDomain);
@@ -106,22 +109,22 @@
     const bool engine = upstream.kind == UpstreamKind::kEngine;
     CheckKnown(engine ? models : services, upstream.serves,
                At("upstreams", i, "serves"), engine ? "model" : "service",
-               faults);
+               errors);
     CheckKnown(domains, upstream.failure_domain.value,
-               At("upstreams", i, "failure_domain"), "failure domain", faults);
+               At("upstreams", i, "failure_domain"), "failure domain", errors);
   }
 }
 
-void CheckRoutes(const FleetDocument& document, FleetFaults* faults) {
+void CheckRoutes(const FleetDocument& document, FleetValidationErrors* errors) {
   const auto models = Collect(document.models, NameOfModel);
   const auto routed = Collect(document.routes, ModelOfRoute);
   for (std::size_t i = 0; i < document.routes.size(); ++i) {
     CheckKnown(models, document.routes[i].model, At("routes", i, "model"),
-               "model", faults);
+               "model", errors);
   }
   for (std::size_t i = 0; i < document.models.size(); ++i) {
     if (routed.count(document.models[i].name) == 0) {
-      faults->push_back({At("models", i, "name"), "has no route"});
+      errors->push_back({At("models", i, "name"), "has no route"});
     }
   }
 }
@@ -132,7 +135,7 @@
 }
 
 void CheckRules(const std::vector<ServiceRule>& rules,
-                const std::string& pointer, FleetFaults* faults) {
+                const std::string& pointer, FleetValidationErrors* errors) {
   for (std::size_t i = 1; i < rules.size(); ++i) {
     const auto end = rules.begin() + static_cast<std::ptrdiff_t>(i);
     const auto hiding =
@@ -142,7 +145,7 @@
         });
     if (hiding != end) {
       const auto index = static_cast<std::size_t>(hiding - rules.begin());
-      faults->push_back(
+      errors->push_back(
           {ElementPointer(pointer, i),
            absl::StrCat("is never reached: ", ElementPointer(pointer, index),
                         " covers it")});
@@ -152,31 +155,33 @@
 
 }  // namespace
 
-void CheckDuplicates(const FleetDocument& document, FleetFaults* faults) {
+void CheckDuplicates(const FleetDocument& document,
+                     FleetValidationErrors* errors) {
   CheckUnique(document.failure_domains, "failure_domains", "id", IdOfDomain,
-              faults);
+              errors);
   CheckUnique(
       document.organisations, "organisations", "id",
       [](const Organisation& organisation) { return organisation.id.value; },
-      faults);
-  CheckUnique(document.models, "models", "name", NameOfModel, faults);
-  CheckUnique(document.services, "services", "name", NameOfService, faults);
+      errors);
+  CheckUnique(document.models, "models", "name", NameOfModel, errors);
+  CheckUnique(document.services, "services", "name", NameOfService, errors);
   CheckUnique(
       document.upstreams, "upstreams", "id",
-      [](const Upstream& upstream) { return upstream.id.value; }, faults);
+      [](const Upstream& upstream) { return upstream.id.value; }, errors);
   CheckUnique(
       document.upstreams, "upstreams", "url",
-      [](const Upstream& upstream) { return upstream.url; }, faults);
-  CheckUnique(document.routes, "routes", "name", NameOfRoute, faults);
-  CheckKeyDigests(document.organisations, faults);
-  CheckAdapters(document.models, faults);
+      [](const Upstream& upstream) { return upstream.url; }, errors);
+  CheckUnique(document.routes, "routes", "name", NameOfRoute, errors);
+  CheckKeyDigests(document.organisations, errors);
+  CheckAdapters(document.models, errors);
 }
 
-void CheckReferences(const FleetDocument& document, FleetFaults* faults) {
-  CheckUpstreams(document, faults);
-  CheckRoutes(document, faults);
+void CheckReferences(const FleetDocument& document,
+                     FleetValidationErrors* errors) {
+  CheckUpstreams(document, errors);
+  CheckRoutes(document, errors);
   for (std::size_t i = 0; i < document.services.size(); ++i) {
-    CheckRules(document.services[i].rules, At("services", i, "rules"), faults);
+    CheckRules(document.services[i].rules, At("services", i, "rules"), errors);
   }
 }
 
--- a/src/fleet/detail/diff.h
+++ b/src/fleet/detail/diff.h
@@ -72,7 +72,7 @@
 /// @brief Applies a JSON patch and validates the outcome as ParseFleet does.
 /// @param before the document that the patch was made against
 /// @param patch as made by MakeFleetPatch
-/// @return the patched document, or all faults; a patch that does not fit is
+/// @return the patched document, or all errors; a patch that does not fit is
 /// one fault
 FleetParseResult PatchFleet(const FleetDocument& before,
                             std::string_view patch);
--- a/src/fleet/detail/parse.h
+++ b/src/fleet/detail/parse.h
@@ -17,7 +17,7 @@
 inline constexpr std::size_t kMaxFleetBytes = 1000000;
 
 /// @brief One fault of a document.
-struct FleetFault {
+struct FleetValidationError {
   std::string
       pointer;  ///< JSON pointer to the value at fault, as "/routes/0/model"
   std::string message;  ///< what is wrong, for a person
@@ -25,16 +25,17 @@
 
 /// @brief A parsed document, or every fault found.
 struct FleetParseResult {
-  FleetDocument document;          ///< meaningful only without faults
-  std::vector<FleetFault> faults;  ///< empty when the document is valid
+  FleetDocument document;  ///< meaningful only without errors
+  std::vector<FleetValidationError>
+      errors;  ///< empty when the document is valid
 
   /// @return whether the document is valid
-  bool Ok() const { return this->faults.empty(); }
+  bool Ok() const { return this->errors.empty(); }
 };
 
 /// @brief Parses and validates a fleet document.
 /// @param text JSON
-/// @return the document, or all faults at once (fleet.101 for unreadable JSON,
+/// @return the document, or all errors at once (fleet.101 for unreadable JSON,
 /// fleet.102 for the
 ///         rest)
 /// @note Complexity: linear in the text's size, but for references (n log n).
--- a/src/fleet/detail/reader.h
+++ b/src/fleet/detail/reader.h
@@ -41,7 +41,7 @@
 /// absent or at fault leaves the target as it is.
 /// @note Example:
 /// @code
-/// ObjectReader reader(value, "/weights", &faults);
+/// ObjectReader reader(value, "/weights", &errors);
 /// reader.Number("stall", {0, 1}, Presence::kRequired, &weights.stall);
 /// reader.Finish();  // names the members that nothing asked for
 /// @endcode
@@ -49,9 +49,9 @@
  public:
   /// @param value what should be an object; outlives the reader
   /// @param pointer its JSON pointer
-  /// @param faults where faults are added; outlives the reader
+  /// @param errors where errors are added; outlives the reader
   ObjectReader(const nlohmann::json& value, std::string pointer,
-               std::vector<FleetFault>* faults);
+               std::vector<FleetValidationError>* errors);
 
   /// @brief Reads a text of a given shape.
   void Text(std::string_view name, const TextShape& shape, Presence presence,
@@ -100,7 +100,7 @@
 
   /// @brief Reads a list of aggregates.
   /// @param range how many there may be
-  /// @param parse called as parse(element, pointer, faults), returns the
+  /// @param parse called as parse(element, pointer, errors), returns the
   /// aggregate
   template <typename T, typename Parse>
   void List(std::string_view name, CountRange range, Presence presence,
@@ -113,7 +113,7 @@
     const std::string list_pointer = MemberPointer(this->pointer, name);
     for (std::size_t i = 0; i < value->size(); ++i) {
       target->push_back(
-          parse((*value)[i], ElementPointer(list_pointer, i), this->faults));
+          parse((*value)[i], ElementPointer(list_pointer, i), this->errors));
     }
   }
 
@@ -123,7 +123,7 @@
               T* target) {
     const nlohmann::json* value = this->Take(name, presence);
     if (value != nullptr) {
-      *target = parse(*value, MemberPointer(this->pointer, name), this->faults);
+      *target = parse(*value, MemberPointer(this->pointer, name), this->errors);
     }
   }
 
@@ -140,7 +140,7 @@
 
   const nlohmann::json& value;
   std::string pointer;
-  std::vector<FleetFault>* faults;
+  std::vector<FleetValidationError>* errors;
   std::set<std::string, std::less<>> asked;
 };
 
--- a/src/fleet/parse.cc
+++ b/src/fleet/parse.cc
@@ -13,7 +13,7 @@
 /// silently merge.
 class DuplicateMembers {
  public:
-  explicit DuplicateMembers(FleetFaults* faults) : faults(faults) {}
+  explicit DuplicateMembers(FleetValidationErrors* errors) : errors(errors) {}
 
   bool operator()(nlohmann::json::parse_event_t event,
                   const nlohmann::json& parsed) {
@@ -25,7 +25,7 @@
     } else if (event == ParseEvent::key) {
       const auto& name = parsed.get_ref<const std::string&>();
       if (!this->names.back().insert(name).second) {
-        this->faults->push_back(
+        this->errors->push_back(
             {"",
              absl::StrCat("member \"", name, "\" stands twice in an object")});
       }
@@ -35,11 +35,11 @@
 
  private:
   std::vector<std::set<std::string>> names;
-  FleetFaults* faults;
+  FleetValidationErrors* errors;
 };
 
-nlohmann::json ReadJson(std::string_view text, FleetFaults* faults) {
-  DuplicateMembers duplicates(faults);
+nlohmann::json ReadJson(std::string_view text, FleetValidationErrors* errors) {
+  DuplicateMembers duplicates(errors);
   const auto callback = [&duplicates](int /*depth*/,
                                       nlohmann::json::parse_event_t event,
                                       nlohmann::json& parsed) {
@@ -48,7 +48,7 @@
   try {
     return nlohmann::json::parse(text, callback);
   } catch (const nlohmann::json::exception& error) {
-    faults->push_back(
+    errors->push_back(
         {"", absl::StrCat("is not readable JSON: ", error.what())});
     return nlohmann::json(nlohmann::json::value_t::discarded);
   }
@@ -59,18 +59,18 @@
 FleetParseResult ParseFleet(std::string_view text) {
   FleetParseResult result;
   if (text.size() > kMaxFleetBytes) {
-    result.faults.push_back(
+    result.errors.push_back(
         {"", absl::StrCat("has ", text.size(), " bytes; at most ",
                           kMaxFleetBytes, " are allowed")});
     return result;
   }
-  const nlohmann::json json = ReadJson(text, &result.faults);
+  const nlohmann::json json = ReadJson(text, &result.errors);
   if (json.is_discarded()) {
     return result;
   }
-  result.document = ParseFleetDocument(json, "", &result.faults);
-  CheckDuplicates(result.document, &result.faults);
-  CheckReferences(result.document, &result.faults);
+  result.document = ParseFleetDocument(json, "", &result.errors);
+  CheckDuplicates(result.document, &result.errors);
+  CheckReferences(result.document, &result.errors);
   return result;
 }
 
@@ -78,7 +78,7 @@
   if (parsed.Ok()) {
     return absl::OkStatus();
   }
-  const FleetFault& first = parsed.faults.front();
+  const FleetValidationError& first = parsed.errors.front();
   return MakeStatus(ErrorCode::kFleetInvalid,
                     first.pointer + ": " + first.message);
 }
--- a/src/fleet/parse_aggregates.cc
+++ b/src/fleet/parse_aggregates.cc
@@ -36,9 +36,9 @@
 
 FailureDomain ParseFailureDomain(const nlohmann::json& value,
                                  const std::string& pointer,
-                                 FleetFaults* faults) {
+                                 FleetValidationErrors* errors) {
   FailureDomain domain;
-  ObjectReader reader(value, pointer, faults);
+  ObjectReader reader(value, pointer, errors);
   reader.Text("id", kNameShape, Presence::kRequired, &domain.id.value);
   reader.Text("region", kNameShape, Presence::kRequired, &domain.region);
   reader.Finish();
@@ -47,9 +47,9 @@
 
 Organisation ParseOrganisation(const nlohmann::json& value,
                                const std::string& pointer,
-                               FleetFaults* faults) {
+                               FleetValidationErrors* errors) {
   Organisation organisation;
-  ObjectReader reader(value, pointer, faults);
+  ObjectReader reader(value, pointer, errors);
   reader.Text("id", kNameShape, Presence::kRequired, &organisation.id.value);
   reader.Texts("key_digests", kDigestShape, kKeyDigests, Presence::kRequired,
                &organisation.key_digests);
@@ -64,9 +64,9 @@
 }
 
 Model ParseModel(const nlohmann::json& value, const std::string& pointer,
-                 FleetFaults* faults) {
+                 FleetValidationErrors* errors) {
   Model model;
-  ObjectReader reader(value, pointer, faults);
+  ObjectReader reader(value, pointer, errors);
   reader.Text("name", kNameShape, Presence::kRequired, &model.name);
   reader.Text("version", kVersionShape, Presence::kRequired, &model.version);
   reader.Texts("adapters", kVersionShape, kAdapters, Presence::kOptional,
@@ -78,9 +78,10 @@
 }
 
 ServiceRule ParseServiceRule(const nlohmann::json& value,
-                             const std::string& pointer, FleetFaults* faults) {
+                             const std::string& pointer,
+                             FleetValidationErrors* errors) {
   ServiceRule rule;
-  ObjectReader reader(value, pointer, faults);
+  ObjectReader reader(value, pointer, errors);
   reader.Text("method", kMethodShape, Presence::kRequired, &rule.method);
   reader.Text("path_prefix", kPathPrefixShape, Presence::kRequired,
               &rule.path_prefix);
@@ -90,9 +91,9 @@
 }
 
 Service ParseService(const nlohmann::json& value, const std::string& pointer,
-                     FleetFaults* faults) {
+                     FleetValidationErrors* errors) {
   Service service;
-  ObjectReader reader(value, pointer, faults);
+  ObjectReader reader(value, pointer, errors);
   reader.Text("name", kNameShape, Presence::kRequired, &service.name);
   reader.List("rules", kRules, Presence::kOptional, ParseServiceRule,
               &service.rules);
@@ -102,9 +103,9 @@
 }
 
 Upstream ParseUpstream(const nlohmann::json& value, const std::string& pointer,
-                       FleetFaults* faults) {
+                       FleetValidationErrors* errors) {
   Upstream upstream;
-  ObjectReader reader(value, pointer, faults);
+  ObjectReader reader(value, pointer, errors);
   reader.Text("id", kNameShape, Presence::kRequired, &upstream.id.value);
   reader.Choice("kind", Presence::kRequired, &upstream.kind);
   reader.Text("serves", kNameShape, Presence::kRequired, &upstream.serves);
@@ -117,9 +118,9 @@
 }
 
 Route ParseRoute(const nlohmann::json& value, const std::string& pointer,
-                 FleetFaults* faults) {
+                 FleetValidationErrors* errors) {
   Route route;
-  ObjectReader reader(value, pointer, faults);
+  ObjectReader reader(value, pointer, errors);
   reader.Text("name", kNameShape, Presence::kRequired, &route.name);
   reader.Text("model", kNameShape, Presence::kRequired, &route.model);
   reader.Choice("request_class", Presence::kOptional, &route.request_class);
@@ -130,9 +131,9 @@
 }
 
 Weights ParseWeights(const nlohmann::json& value, const std::string& pointer,
-                     FleetFaults* faults) {
+                     FleetValidationErrors* errors) {
   Weights weights;
-  ObjectReader reader(value, pointer, faults);
+  ObjectReader reader(value, pointer, errors);
   reader.Number("stall", kFraction, Presence::kOptional, &weights.stall);
   reader.Number("preemption", kFraction, Presence::kOptional,
                 &weights.preemption);
@@ -143,9 +144,9 @@
 
 FleetDocument ParseFleetDocument(const nlohmann::json& value,
                                  const std::string& pointer,
-                                 FleetFaults* faults) {
+                                 FleetValidationErrors* errors) {
   FleetDocument document;
-  ObjectReader reader(value, pointer, faults);
+  ObjectReader reader(value, pointer, errors);
   reader.Text("name", kNameShape, Presence::kRequired, &document.name);
   reader.Text("change_id", kVersionShape, Presence::kOptional,
               &document.change_id);
--- a/src/fleet/patch.cc
+++ b/src/fleet/patch.cc
@@ -90,7 +90,7 @@
     const Json operations = Json::parse(patch);
     return ParseFleet(ToJson(before).patch(operations).dump());
   } catch (const Json::exception& error) {
-    result.faults.push_back(
+    result.errors.push_back(
         {"", absl::StrCat("the patch does not fit: ", error.what())});
   }
   return result;
--- a/src/fleet/reader.cc
+++ b/src/fleet/reader.cc
@@ -42,10 +42,10 @@
 }
 
 ObjectReader::ObjectReader(const nlohmann::json& value, std::string pointer,
-                           std::vector<FleetFault>* faults)
-    : value(value), pointer(std::move(pointer)), faults(faults) {
+                           std::vector<FleetValidationError>* errors)
+    : value(value), pointer(std::move(pointer)), errors(errors) {
   if (!value.is_object()) {
-    faults->push_back({this->pointer, "must be an object"});
+    errors->push_back({this->pointer, "must be an object"});
   }
 }
 
@@ -68,7 +68,7 @@
                          std::vector<std::string>* target) {
   const auto parse = [&shape](const nlohmann::json& element,
                               std::string element_pointer,
-                              std::vector<FleetFault>* found) {
+                              std::vector<FleetValidationError>* found) {
     const auto* text = element.get_ptr<const std::string*>();
     if (text == nullptr || !shape.fits(*text)) {
       found->push_back({std::move(element_pointer),
@@ -127,7 +127,7 @@
 }
 
 void ObjectReader::Fault(std::string_view name, std::string message) {
-  this->faults->push_back(
+  this->errors->push_back(
       {MemberPointer(this->pointer, name), std::move(message)});
 }
 
--- a/src/fleet/tests/examples_test.cc
+++ b/src/fleet/tests/examples_test.cc
@@ -27,7 +27,7 @@
       {{"swan-coast.json", 9}, {"syrtos.json", 12}}));
   const std::string text = ReadExample(name);
   const FleetParseResult result = ParseFleet(text);
-  for (const FleetFault& fault : result.faults) {
+  for (const FleetValidationError& fault : result.errors) {
     UNSCOPED_INFO(name << fault.pointer << " " << fault.message);
   }
   REQUIRE(result.Ok());
--- a/src/fleet/tests/parse_test.cc
+++ b/src/fleet/tests/parse_test.cc
@@ -37,7 +37,8 @@
 
   std::vector<std::string> Pointers() const {
     std::vector<std::string> pointers;
-    for (const FleetFault& fault : ParseFleet(this->json.dump()).faults) {
+    for (const FleetValidationError& fault :
+         ParseFleet(this->json.dump()).errors) {
       pointers.push_back(fault.pointer);
     }
     return pointers;
@@ -155,11 +156,11 @@
 }
 
 TEST_CASE("fleet document, text that is no document, gives one fault") {
-  CHECK(ParseFleet("").faults.size() == 1);
-  CHECK(ParseFleet("{\"name\":").faults.size() == 1);
-  CHECK(ParseFleet("[]").faults.size() == 1);
-  CHECK(ParseFleet(std::string(kMaxFleetBytes + 1, ' ')).faults.size() == 1);
-  CHECK(ParseFleet(std::string(100000, '[')).faults.size() == 1);
+  CHECK(ParseFleet("").errors.size() == 1);
+  CHECK(ParseFleet("{\"name\":").errors.size() == 1);
+  CHECK(ParseFleet("[]").errors.size() == 1);
+  CHECK(ParseFleet(std::string(kMaxFleetBytes + 1, ' ')).errors.size() == 1);
+  CHECK(ParseFleet(std::string(100000, '[')).errors.size() == 1);
 }
 
 TEST_CASE_METHOD(FleetParsing,
@@ -167,8 +168,8 @@
   std::string text = this->json.dump();
   text.insert(1, "\"name\":\"other\",");
   const FleetParseResult result = ParseFleet(text);
-  REQUIRE(result.faults.size() == 1);
-  CHECK(result.faults[0].message ==
+  REQUIRE(result.errors.size() == 1);
+  CHECK(result.errors[0].message ==
         "member \"name\" stands twice in an object");
 }
 
--- a/src/operators/fleet_changes.cc
+++ b/src/operators/fleet_changes.cc
@@ -41,7 +41,7 @@
   }
   FleetParseResult parsed = ParseFleet(read.bytes);
   if (!parsed.Ok()) {
-    const FleetFault& fault = parsed.faults.front();
+    const FleetValidationError& fault = parsed.errors.front();
     return MakeStatus(ErrorCode::kFleetInvalid,
                       absl::StrCat("version ", read.version, ", ",
                                    fault.pointer, " ", fault.message));
--- a/src/operators/platform_access.cc
+++ b/src/operators/platform_access.cc
@@ -58,7 +58,7 @@
 }
 
 ApplyResult PlatformAccess::Apply(const FleetChange& change, Duration limit) {
-  ApplyFleet apply(&this->client, change, limit);
+  FleetChangeOperation apply(&this->client, change, limit);
   apply.Start(this->hooks.now());
   while (!apply.Result()) {
     const bool moved = this->Advance([&](const StoreResult& result) {
--- a/src/placement/detail/placement_host.h
+++ b/src/placement/detail/placement_host.h
@@ -65,7 +65,7 @@
   void On(const HttpDone& done);
   template <typename Other>
   void On(const Other& /*other*/) {}
-  void Adopt(const ConfigurationAdopted& adopted);
+  void Adopt(const ConfigurationApplied& adopted);
   Actions Settle();
 
   PlacementHostSettings settings;
--- a/src/placement/placement_host.cc
+++ b/src/placement/placement_host.cc
@@ -116,7 +116,7 @@
   }
 }
 
-void PlacementHost::Adopt(const ConfigurationAdopted& adopted) {
+void PlacementHost::Adopt(const ConfigurationApplied& adopted) {
   FleetParseResult parsed = ParseFleet(adopted.text);
   if (!parsed.Ok()) {
     return;
@@ -136,7 +136,7 @@
     }
   }
   for (const ConfigurationAction& action : this->configuration.TakeActions()) {
-    if (const auto* adopted = std::get_if<ConfigurationAdopted>(&action)) {
+    if (const auto* adopted = std::get_if<ConfigurationApplied>(&action)) {
       this->Adopt(*adopted);
     }
   }
--- a/src/settings/detail/parser.h
+++ b/src/settings/detail/parser.h
@@ -15,10 +15,10 @@
 namespace limpetlink {
 
 /// @brief Whether a setting may be left out.
-enum class Need { kOptional, kRequired };
+enum class Requirement { kOptional, kRequired };
 
 /// @brief Exit code of a program whose settings are at fault.
-inline constexpr int kExitSettings = 2;
+inline constexpr int kExitInvalidSettings = 2;
 
 /// @brief Takes a setting's text in.
 /// @return what is wrong with the text, or nothing when it was taken
@@ -30,9 +30,10 @@
 
 /// @brief What parsing came to.
 struct SettingsResult {
-  bool shown = false;  ///< --help or --version was asked for; `text` holds it
-  std::string text;    ///< the help or the version
-  std::vector<std::string> faults;  ///< every fault found, one line each
+  bool show_text =
+      false;         ///< --help or --version was asked for; `text` holds it
+  std::string text;  ///< the help or the version
+  std::vector<std::string> errors;  ///< every fault found, one line each
 };
 
 /// @brief Declares settings and fills variables from flags and environment
@@ -44,7 +45,7 @@
 /// std::string listen = "127.0.0.1:8080";
 /// SettingsParser parser("limpet-entry", "Serves callers.");
 /// parser.Text("listen", "address for callers, ip:port", &listen,
-/// Need::kRequired); if (const std::optional<int> code =
+/// Requirement::kRequired); if (const std::optional<int> code =
 /// parser.ParseOrExitCode(argc, argv)) { return *code; }
 /// @endcode
 class SettingsParser {
@@ -55,29 +56,32 @@
 
   /// @brief Declares a setting that takes any text but the empty one.
   SettingsParser& Text(std::string name, std::string help, std::string* target,
-                       Need need = Need::kOptional);
+                       Requirement need = Requirement::kOptional);
 
   /// @brief Declares a whole number between two bounds, both allowed.
   SettingsParser& Number(std::string name, std::string help,
                          std::uint64_t* target, std::uint64_t low,
-                         std::uint64_t high, Need need = Need::kOptional);
+                         std::uint64_t high,
+                         Requirement need = Requirement::kOptional);
 
   /// @brief Declares a switch; `--name` alone means true.
   SettingsParser& Switch(std::string name, std::string help, bool* target);
 
   /// @brief Declares an address written "ip:port".
   SettingsParser& Address(std::string name, std::string help,
-                          std::string* target, Need need = Need::kOptional);
+                          std::string* target,
+                          Requirement need = Requirement::kOptional);
 
   /// @brief Declares a setting with a check of its own.
   /// @param assign takes the text in or says what is wrong
   SettingsParser& Checked(std::string name, std::string help,
-                          AssignSetting assign, Need need = Need::kOptional);
+                          AssignSetting assign,
+                          Requirement need = Requirement::kOptional);
 
   /// @brief Declares a setting that takes a name of an enum's table.
   template <typename Enum>
   SettingsParser& Choice(std::string name, std::string help, Enum* target,
-                         Need need = Need::kOptional) {
+                         Requirement need = Requirement::kOptional) {
     return this->Checked(
         std::move(name), std::move(help),
         [target](const std::string& text) -> std::optional<std::string> {
@@ -102,9 +106,9 @@
                        const ReadEnvironment& environment) const;
 
   /// @brief Parses with the process's environment and prints help, version or
-  /// faults.
+  /// errors.
   /// @return the exit code when the program is to end now: 0 after help,
-  /// kExitSettings on faults
+  /// kExitInvalidSettings on errors
   std::optional<int> ParseOrExitCode(int argc, const char* const* argv) const;
 
  private:
@@ -112,14 +116,14 @@
     std::string name;
     std::string help;
     AssignSetting assign;
-    Need need = Need::kOptional;
+    Requirement need = Requirement::kOptional;
     bool is_switch = false;
   };
 
   void TakeSetting(const Setting& setting,
                    const std::optional<std::string>& flag,
                    const ReadEnvironment& environment,
-                   std::vector<std::string>* faults) const;
+                   std::vector<std::string>* errors) const;
 
   std::string program;
   std::string summary;
@@ -131,11 +135,11 @@
 /// @brief Name of the environment variable of a flag.
 /// @param flag as "peer-secret"
 /// @return as "LIMPET_PEER_SECRET"
-std::string EnvironmentNameOf(std::string_view flag);
+std::string EnvironmentName(std::string_view flag);
 
 /// @brief Says what is wrong with an address, or nothing for a right "ip:port".
 /// @param text as "127.0.0.1:8080" or "[::1]:8080"; port 0 is allowed
-std::optional<std::string> FaultOfAddress(const std::string& text);
+std::optional<std::string> ValidateAddress(const std::string& text);
 
 /// @brief Version of the programs.
 std::string_view ProgramVersion();
--- a/src/settings/parser.cc
+++ b/src/settings/parser.cc
@@ -31,7 +31,7 @@
 }
 
 // An option that stands last without its value would stop the parser before the
-// other faults.
+// other errors.
 std::optional<std::string> NameOfFlag(std::string_view argument) {
   if (argument.size() < 3 || argument.substr(0, 2) != "--") {
     return std::nullopt;
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-std::string EnvironmentNameOf(std::string_view flag) {
+std::string EnvironmentName(std::string_view flag) {
   std::string name = "LIMPET_";
   for (const char c : flag) {
     const bool lower = c >= 'a' && c <= 'z';
@@ -53,7 +53,7 @@
   return name;
 }
 
-std::optional<std::string> FaultOfAddress(const std::string& text) {
+std::optional<std::string> ValidateAddress(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string::npos) {
     return "is not written ip:port";
@@ -78,14 +78,15 @@
     : program(std::move(program)), summary(std::move(summary)) {}
 
 SettingsParser& SettingsParser::Checked(std::string name, std::string help,
-                                        AssignSetting assign, Need need) {
+                                        AssignSetting assign,
+                                        Requirement need) {
   this->settings.push_back(
       {std::move(name), std::move(help), std::move(assign), need, false});
   return *this;
 }
 
 SettingsParser& SettingsParser::Text(std::string name, std::string help,
-                                     std::string* target, Need need) {
+                                     std::string* target, Requirement need) {
   const auto assign =
       [target](const std::string& text) -> std::optional<std::string> {
     if (text.empty()) {
@@ -99,7 +100,7 @@
 
 SettingsParser& SettingsParser::Number(std::string name, std::string help,
                                        std::uint64_t* target, std::uint64_t low,
-                                       std::uint64_t high, Need need) {
+                                       std::uint64_t high, Requirement need) {
   const auto assign =
       [=](const std::string& text) -> std::optional<std::string> {
     const std::optional<std::uint64_t> value = ParseNumber(text);
@@ -129,10 +130,10 @@
 }
 
 SettingsParser& SettingsParser::Address(std::string name, std::string help,
-                                        std::string* target, Need need) {
+                                        std::string* target, Requirement need) {
   const auto assign =
       [target](const std::string& text) -> std::optional<std::string> {
-    std::optional<std::string> fault = FaultOfAddress(text);
+    std::optional<std::string> fault = ValidateAddress(text);
     if (!fault.has_value()) {
       *target = text;
     }
@@ -151,8 +152,8 @@
 void SettingsParser::TakeSetting(const Setting& setting,
                                  const std::optional<std::string>& flag,
                                  const ReadEnvironment& environment,
-                                 std::vector<std::string>* faults) const {
-  const std::string variable = EnvironmentNameOf(setting.name);
+                                 std::vector<std::string>* errors) const {
+  const std::string variable = EnvironmentName(setting.name);
   const std::string source = flag.has_value() ? "--" + setting.name : variable;
   std::optional<std::string> text = flag;
   if (!text.has_value()) {
@@ -162,13 +163,13 @@
     }
   }
   if (!text.has_value()) {
-    if (setting.need == Need::kRequired) {
-      faults->push_back("--" + setting.name + " (" + variable + ") is missing");
+    if (setting.need == Requirement::kRequired) {
+      errors->push_back("--" + setting.name + " (" + variable + ") is missing");
     }
     return;
   }
   if (const std::optional<std::string> fault = setting.assign(*text)) {
-    faults->push_back(source + " " + *fault);
+    errors->push_back(source + " " + *fault);
   }
 }
 
@@ -188,15 +189,15 @@
     if (setting.is_switch) {
       value->implicit_value("true");
     }
-    add(setting.name,
-        setting.help + " [" + EnvironmentNameOf(setting.name) + "]", value);
+    add(setting.name, setting.help + " [" + EnvironmentName(setting.name) + "]",
+        value);
   }
   std::vector<const char*> arguments(argv, argv + argc);
   const std::optional<std::string> last =
       NameOfFlag(argc > 1 ? arguments.back() : "");
   for (const Setting& setting : this->settings) {
     if (last == setting.name && !setting.is_switch) {
-      result.faults.push_back("--" + setting.name + " needs a value");
+      result.errors.push_back("--" + setting.name + " needs a value");
       arguments.pop_back();
     }
   }
@@ -213,7 +214,7 @@
         (argument.empty() || argument.front() != '-')) {
       this->operands->push_back(argument);
     } else {
-      result.faults.push_back(argument + " is not a setting of " +
+      result.errors.push_back(argument + " is not a setting of " +
                               this->program);
     }
   }
@@ -222,7 +223,7 @@
     if (parsed.count(setting.name) > 0) {
       flag = parsed[setting.name].as<std::string>();
     }
-    this->TakeSetting(setting, flag, environment, &result.faults);
+    this->TakeSetting(setting, flag, environment, &result.errors);
   }
   return result;
 }
@@ -231,19 +232,19 @@
     int argc, const char* const* argv) const {
   const SettingsResult result = this->Parse(
       argc, argv, [](const char* name) { return std::getenv(name); });
-  if (result.shown) {
+  if (result.show_text) {
     std::cout << result.text;
     return 0;
   }
-  if (result.faults.empty()) {
+  if (result.errors.empty()) {
     return std::nullopt;
   }
-  std::cerr << this->program << ": " << result.faults.size()
+  std::cerr << this->program << ": " << result.errors.size()
             << " fault(s) in the settings\n";
-  for (const std::string& fault : result.faults) {
+  for (const std::string& fault : result.errors) {
     std::cerr << "  " << fault << '\n';
   }
-  return kExitSettings;
+  return kExitInvalidSettings;
 }
 
 }  // namespace limpetlink
--- a/src/settings/tests/parser_test.cc
+++ b/src/settings/tests/parser_test.cc
@@ -3,7 +3,7 @@
 
 #include "settings/settings.h"
 
-using limpetlink::Need;
+using limpetlink::Requirement;
 using limpetlink::SettingsParser;
 using limpetlink::SettingsResult;
 
@@ -14,8 +14,9 @@
   SettingsFixture() {
     this->parser
         .Address("listen", "address for callers", &this->listen,
-                 Need::kRequired)
-        .Text("host-id", "name of the host", &this->host_id, Need::kRequired)
+                 Requirement::kRequired)
+        .Text("host-id", "name of the host", &this->host_id,
+              Requirement::kRequired)
         .Number("seed", "seed", &this->seed, 1, 10)
         .Switch("check", "a switch", &this->check)
         .Operands("COMMAND", &this->operands);
@@ -50,7 +51,7 @@
   const SettingsResult result =
       this->Parse({"apply", "--listen", "127.0.0.1:80", "--check", "--seed=7",
                    "file.json"});
-  CHECK(result.faults.empty());
+  CHECK(result.errors.empty());
   CHECK(this->listen == "127.0.0.1:80");
   CHECK(this->host_id == "from-variable");
   CHECK(this->seed == 7);
@@ -63,21 +64,21 @@
   this->environment = {{"LIMPET_SEED", "11"}, {"LIMPET_CHECK", "perhaps"}};
   const SettingsResult result =
       this->Parse({"--listen=nowhere", "--unknown=1", "--host-id"});
-  CHECK(result.faults.size() == 6);
+  CHECK(result.errors.size() == 6);
 }
 
 TEST_CASE_METHOD(SettingsFixture,
                  "settings, help or version asked for, the text is shown") {
   const SettingsResult help = this->Parse({"--help"});
-  CHECK(help.shown);
+  CHECK(help.show_text);
   CHECK(help.text.find("LIMPET_HOST_ID") != std::string::npos);
   CHECK(this->Parse({"--version"}).text == "program 0.1.0\n");
 }
 
 TEST_CASE("an address, several spellings, only ip and port pass") {
-  CHECK_FALSE(limpetlink::FaultOfAddress("127.0.0.1:8080").has_value());
-  CHECK_FALSE(limpetlink::FaultOfAddress("[::1]:0").has_value());
-  CHECK(limpetlink::FaultOfAddress("localhost:80").has_value());
-  CHECK(limpetlink::FaultOfAddress("127.0.0.1").has_value());
-  CHECK(limpetlink::FaultOfAddress("127.0.0.1:70000").has_value());
+  CHECK_FALSE(limpetlink::ValidateAddress("127.0.0.1:8080").has_value());
+  CHECK_FALSE(limpetlink::ValidateAddress("[::1]:0").has_value());
+  CHECK(limpetlink::ValidateAddress("localhost:80").has_value());
+  CHECK(limpetlink::ValidateAddress("127.0.0.1").has_value());
+  CHECK(limpetlink::ValidateAddress("127.0.0.1:70000").has_value());
 }
--- a/tests/hosts/configuration_test.cc
+++ b/tests/hosts/configuration_test.cc
@@ -22,7 +22,7 @@
     this->group = std::make_unique<HostGroup>(options);
     this->in_force.assign(hosts, 0);
     this->group->on_adopted = [this](std::size_t host,
-                                     const ConfigurationAdopted& adopted) {
+                                     const ConfigurationApplied& adopted) {
       REQUIRE(adopted.version > this->in_force[host]);
       const std::string marker = "\"v" + std::to_string(adopted.version) + "\"";
       REQUIRE(adopted.text.find(marker) != std::string::npos);
@@ -195,7 +195,7 @@
   }
   std::uint64_t refused = 0;
   for (const GroupHost& host : this->group->hosts) {
-    refused += host.configuration->Counters().refused_documents;
+    refused += host.configuration->Counters().rejected_documents;
   }
   CHECK(refused >= 3);
   CHECK(this->InForceEverywhere(this->Write(), kEverywhere));
--- a/tests/hosts/host_group.cc
+++ b/tests/hosts/host_group.cc
@@ -196,7 +196,7 @@
     if (const auto* send = std::get_if<ConfigurationSend>(&action)) {
       this->SendFrame(index, send->to, PeerKind::kConfiguration, send->bytes);
     } else if (this->on_adopted) {
-      this->on_adopted(index, std::get<ConfigurationAdopted>(action));
+      this->on_adopted(index, std::get<ConfigurationApplied>(action));
     }
   }
   return any;
--- a/tests/hosts/host_group.h
+++ b/tests/hosts/host_group.h
@@ -86,7 +86,7 @@
   /// What befalls a host's call; may be empty.
   std::function<CallFate(std::size_t host, const HttpCall& call)> fate;
   /// Told of every adoption and live list; may be empty.
-  std::function<void(std::size_t host, const ConfigurationAdopted&)> on_adopted;
+  std::function<void(std::size_t host, const ConfigurationApplied&)> on_adopted;
   std::function<void(std::size_t host, const LiveHostsChanged&)> on_live;
   std::function<void(std::size_t host, const MembershipAction&)> on_membership;
 
--- a/tests/scenario/matrix_main.cc
+++ b/tests/scenario/matrix_main.cc
@@ -60,7 +60,7 @@
   const auto lists = text.ok() ? ParseMatrixLists(*text) : text.status();
   if (!lists.ok()) {
     std::cerr << lists.status().message() << '\n';
-    return kExitSettings;
+    return kExitInvalidSettings;
   }
   const auto cells = GenerateMatrix(
       *lists, settings.pairs ? MatrixExtent::kPairs : MatrixExtent::kSingles);
@@ -83,9 +83,9 @@
                         "Runs every fault at every step with real processes.");
   parser
       .Text("programs", "folder with the programs", &settings.programs,
-            Need::kRequired)
+            Requirement::kRequired)
       .Text("lists", "file with faults and activities", &settings.lists,
-            Need::kRequired)
+            Requirement::kRequired)
       .Text("logs", "folder for what the processes print", &settings.logs)
       .Text("output", "JSON file for the results", &settings.output)
       .Text("only", "run cells whose name holds this text", &settings.only)
--- a/tests/scenario/real_fleet.cc
+++ b/tests/scenario/real_fleet.cc
@@ -103,8 +103,8 @@
   this->document = this->DocumentOf(scenario.topology);
   const FleetParseResult checked = ParseFleet(WriteFleet(this->document));
   if (!checked.Ok()) {
-    return absl::InternalError(checked.faults.front().pointer + " " +
-                               checked.faults.front().message);
+    return absl::InternalError(checked.errors.front().pointer + " " +
+                               checked.errors.front().message);
   }
   return absl::OkStatus();
 }
--- a/tests/scenario/scenario_main.cc
+++ b/tests/scenario/scenario_main.cc
@@ -48,7 +48,8 @@
   SettingsParser parser("limpet-scenario",
                         "Runs scenario files against real processes.");
   parser
-      .Text("programs", "folder with the programs", &programs, Need::kRequired)
+      .Text("programs", "folder with the programs", &programs,
+            Requirement::kRequired)
       .Text("logs", "folder for what the processes print", &logs)
       .Operands("FILE...", &files);
   if (const std::optional<int> code = parser.ParseOrExitCode(argc, argv)) {
