--- a/src/configuration/apply.cc
+++ b/src/configuration/apply.cc
@@ -10,32 +10,32 @@
 
 using Json = nlohmann::json;
 
-constexpr Duration kPause = std::chrono::milliseconds(300);
+constexpr Duration kRetryDelay = std::chrono::milliseconds(300);
 constexpr int kVersionDigits = 12;
 
-std::string ReadText(const Json& value, const char* member) {
+std::string StringMember(const Json& value, const char* member) {
   const auto found = value.is_object() ? value.find(member) : value.end();
   const bool is_text =
       value.is_object() && found != value.end() && found->is_string();
   return is_text ? found->get<std::string>() : std::string();
 }
 
-std::string ChangeIdOf(std::string_view json) {
-  return ReadText(Json::parse(json, nullptr, false), "change_id");
+std::string ReadChangeId(std::string_view json) {
+  return StringMember(Json::parse(json, nullptr, false), "change_id");
 }
 
-/// @brief The record that tells whose change a version was; equal for every
-/// writer.
+/// @brief Returns the history record of a version. Every writer produces the
+/// same record.
 std::string HistoryRecord(std::uint64_t version, const std::string& text) {
   const Json document = Json::parse(text, nullptr, false);
   const Json record = {{"version", version},
-                       {"change_id", ReadText(document, "change_id")},
-                       {"author", ReadText(document, "author")},
+                       {"change_id", StringMember(document, "change_id")},
+                       {"author", StringMember(document, "author")},
                        {"sha256", Sha256Hex(text)}};
   return record.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-bool Ran(StoreStatus status) { return status == StoreStatus::kOk; }
+bool Succeeded(StoreStatus status) { return status == StoreStatus::kOk; }
 
 }  // namespace
 
@@ -65,21 +65,21 @@
 
 void FleetChangeOperation::Start(Instant now) {
   this->deadline = now + this->limit;
-  this->Begin(now, Step::kRead);
+  this->StartStep(now, Step::kRead);
 }
 
 bool FleetChangeOperation::IsOwn(std::string_view json) const {
-  return ChangeIdOf(json) == this->change.change_id;
+  return ReadChangeId(json) == this->change.change_id;
 }
 
-void FleetChangeOperation::Begin(Instant now, Step step) {
+void FleetChangeOperation::StartStep(Instant now, Step step) {
   const ObjectKey fleet{std::string(kFleetKind), this->change.fleet_name};
   const std::string history(kFleetHistoryKind);
   const std::uint64_t base = this->change.base_version;
   const WriteCondition condition =
       base == 0 ? WriteCondition::IfAbsent() : WriteCondition::IfVersion(base);
   this->step = step;
-  this->again_at = kNever;
+  this->retry_at = kNever;
   switch (step) {
     case Step::kRead:
     case Step::kReadBack:
@@ -89,7 +89,7 @@
       this->op =
           this->platform
               ->Put(now, {history, HistoryName(this->change.fleet_name, base)},
-                    HistoryRecord(base, this->seen_text),
+                    HistoryRecord(base, this->latest_text),
                     WriteCondition::IfAbsent())
               .value;
       break;
@@ -97,7 +97,7 @@
       this->op =
           this->platform->Put(now, fleet, this->change.text, condition).value;
       break;
-    case Step::kHistory:
+    case Step::kReadHistory:
       this->op =
           this->platform
               ->Get(now,
@@ -109,9 +109,9 @@
   }
 }
 
-void FleetChangeOperation::Again(Instant now) {
+void FleetChangeOperation::ScheduleRetry(Instant now) {
   this->op = 0;
-  this->again_at = now + kPause;
+  this->retry_at = now + kRetryDelay;
 }
 
 bool FleetChangeOperation::OnPlatform(Instant now, const StoreResult& result) {
@@ -132,7 +132,7 @@
     case Step::kReadBack:
       this->HandleReadBack(now, result);
       break;
-    case Step::kHistory:
+    case Step::kReadHistory:
       this->HandleHistory(now, result);
       break;
     case Step::kDone:
@@ -145,58 +145,59 @@
   const std::uint64_t base = this->change.base_version;
   if (read.status == StoreStatus::kAbsent) {
     if (base == 0) {
-      this->Begin(now, Step::kWrite);
+      this->StartStep(now, Step::kWrite);
     } else {
-      this->Conflict();
+      this->FinishConflict();
     }
     return;
   }
-  if (!Ran(read.status)) {
-    this->Again(now);
+  if (!Succeeded(read.status)) {
+    this->ScheduleRetry(now);
     return;
   }
-  this->seen_version = read.version;
-  this->seen_text = read.bytes;
+  this->latest_version = read.version;
+  this->latest_text = read.bytes;
   if (this->IsOwn(read.bytes)) {
-    this->Applied(now, read.version);
+    this->FinishApplied(now, read.version);
   } else if (read.version == base) {
-    this->Begin(now, Step::kArchive);
+    this->StartStep(now, Step::kArchive);
   } else if (read.version > base + 1) {
-    this->Begin(now, Step::kHistory);  // an earlier try may stand at base + 1
+    // An earlier attempt may have produced base + 1.
+    this->StartStep(now, Step::kReadHistory);
   } else {
-    this->Conflict();
+    this->FinishConflict();
   }
 }
 
 void FleetChangeOperation::HandleArchive(Instant now,
-                                         const StoreResult& answer) {
+                                         const StoreResult& result) {
   const bool kept =
-      Ran(answer.status) || answer.status == StoreStatus::kConflict;
+      Succeeded(result.status) || result.status == StoreStatus::kConflict;
   if (kept) {
-    this->Begin(now, Step::kWrite);
+    this->StartStep(now, Step::kWrite);
   } else {
-    this->Again(now);
+    this->ScheduleRetry(now);
   }
 }
 
-void FleetChangeOperation::HandleWrite(Instant now, const StoreResult& answer) {
-  switch (answer.status) {
+void FleetChangeOperation::HandleWrite(Instant now, const StoreResult& result) {
+  switch (result.status) {
     case StoreStatus::kOk:
-      this->Applied(now, answer.version);
+      this->FinishApplied(now, result.version);
       return;
     case StoreStatus::kConflict:
-      this->Begin(now, Step::kReadBack);
+      this->StartStep(now, Step::kReadBack);
       return;
     case StoreStatus::kUnknown:
-      this->write_may_run = true;
-      this->Begin(now, Step::kReadBack);
+      this->write_may_apply = true;
+      this->StartStep(now, Step::kReadBack);
       return;
     case StoreStatus::kRefused:
-      this->End(this->write_may_run ? ApplyOutcome::kUnknown
-                                    : ApplyOutcome::kNotApplied);
+      this->Finish(this->write_may_apply ? ApplyOutcome::kUnknown
+                                         : ApplyOutcome::kNotApplied);
       return;
     default:
-      this->Again(now);
+      this->ScheduleRetry(now);
       return;
   }
 }
@@ -210,50 +211,51 @@
     return this->IsOwn(json);
   };
   const WriteVerdict verdict = ResolveByReadBack(condition, read, is_own);
-  if (Ran(read.status)) {
-    this->seen_version = read.version;
-    this->seen_text = read.bytes;
+  if (Succeeded(read.status)) {
+    this->latest_version = read.version;
+    this->latest_text = read.bytes;
   }
   switch (verdict) {
     case WriteVerdict::kTookEffect:
-      this->Applied(now, base + 1);
+      this->FinishApplied(now, base + 1);
       return;
     case WriteVerdict::kNotTaken:
-      this->Conflict();
+      this->FinishConflict();
       return;
     case WriteVerdict::kRepeat:
-      this->Begin(now, Step::kWrite);
+      this->StartStep(now, Step::kWrite);
       return;
     case WriteVerdict::kCovered:
-      this->Begin(now, Step::kHistory);
+      this->StartStep(now, Step::kReadHistory);
       return;
     case WriteVerdict::kNoAnswer:
-      this->Again(now);
+      this->ScheduleRetry(now);
       return;
   }
 }
 
 void FleetChangeOperation::HandleHistory(Instant now, const StoreResult& read) {
   if (read.status == StoreStatus::kAbsent) {
-    // Whoever wrote version base + 2 did not keep the history: nobody can tell.
-    this->End(ApplyOutcome::kUnknown);
+    // The writer of version base + 2 created no history record, so the outcome
+    // cannot be determined.
+    this->Finish(ApplyOutcome::kUnknown);
     return;
   }
-  if (!Ran(read.status)) {
-    this->Again(now);
+  if (!Succeeded(read.status)) {
+    this->ScheduleRetry(now);
     return;
   }
   if (this->IsOwn(read.bytes)) {
-    this->Applied(now, this->change.base_version + 1);
+    this->FinishApplied(now, this->change.base_version + 1);
   } else {
-    this->Conflict();
+    this->FinishConflict();
   }
 }
 
-void FleetChangeOperation::Applied(Instant now, std::uint64_t version) {
-  this->End(ApplyOutcome::kApplied);
+void FleetChangeOperation::FinishApplied(Instant now, std::uint64_t version) {
+  this->Finish(ApplyOutcome::kApplied);
   this->result->version = version;
-  this->result->current_version = std::max(version, this->seen_version);
+  this->result->current_version = std::max(version, this->latest_version);
   if (version > kMaxHistoryVersions) {
     const std::uint64_t old = version - kMaxHistoryVersions;
     this->platform->Delete(now,
@@ -263,18 +265,18 @@
   }
 }
 
-void FleetChangeOperation::Conflict() {
-  this->End(ApplyOutcome::kConflict);
-  this->result->current_version = this->seen_version;
-  this->result->current_text = this->seen_text;
+void FleetChangeOperation::FinishConflict() {
+  this->Finish(ApplyOutcome::kConflict);
+  this->result->current_version = this->latest_version;
+  this->result->current_text = this->latest_text;
   this->result->difference =
-      DifferenceAsPatch(this->change.base_text, this->seen_text);
+      DifferenceAsPatch(this->change.base_text, this->latest_text);
 }
 
-void FleetChangeOperation::End(ApplyOutcome outcome) {
+void FleetChangeOperation::Finish(ApplyOutcome outcome) {
   this->step = Step::kDone;
   this->op = 0;
-  this->again_at = kNever;
+  this->retry_at = kNever;
   this->deadline = kNever;
   this->result = ApplyResult{};
   this->result->outcome = outcome;
@@ -286,20 +288,21 @@
   }
   if (this->deadline <= now) {
     if (this->op != 0) {
-      this->write_may_run = this->write_may_run || this->step == Step::kWrite;
+      this->write_may_apply =
+          this->write_may_apply || this->step == Step::kWrite;
       this->platform->Cancel(StoreOp{this->op});
     }
-    this->End(this->write_may_run ? ApplyOutcome::kUnknown
-                                  : ApplyOutcome::kNotApplied);
+    this->Finish(this->write_may_apply ? ApplyOutcome::kUnknown
+                                       : ApplyOutcome::kNotApplied);
     return;
   }
-  if (this->again_at <= now) {
-    this->Begin(now, this->step);
+  if (this->retry_at <= now) {
+    this->StartStep(now, this->step);
   }
 }
 
 Instant FleetChangeOperation::NextWakeup() const {
-  return std::min(this->deadline, this->again_at);
+  return std::min(this->deadline, this->retry_at);
 }
 
 }  // namespace limpetlink
--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief The fleet document on its way: adoption only upward, spread between
-/// hosts, and the operators' conditional change.
+/// @brief Distribution of the fleet document: hosts apply only newer versions
+/// and propagate them to each other; operators change it by conditional writes.
 #pragma once
 
 #include "configuration/detail/apply.h"
--- a/src/configuration/delta.cc
+++ b/src/configuration/delta.cc
@@ -8,23 +8,24 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kSpliceOverhead = 20;  ///< bytes of the two lengths
+/// Encoded size of the two lengths, in bytes.
+constexpr std::size_t kSpliceOverhead = 20;
 
 std::string Dump(const Json& value) {
   return value.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-std::size_t CommonHead(std::string_view a, std::string_view b) {
-  const std::size_t most = std::min(a.size(), b.size());
-  const auto end = a.begin() + static_cast<std::ptrdiff_t>(most);
+std::size_t CommonPrefix(std::string_view a, std::string_view b) {
+  const std::size_t limit = std::min(a.size(), b.size());
+  const auto end = a.begin() + static_cast<std::ptrdiff_t>(limit);
   return static_cast<std::size_t>(
       std::mismatch(a.begin(), end, b.begin()).first - a.begin());
 }
 
-std::size_t CommonTail(std::string_view a, std::string_view b,
-                       std::size_t most) {
+std::size_t CommonSuffix(std::string_view a, std::string_view b,
+                         std::size_t limit) {
   std::size_t size = 0;
-  while (size < most && a[a.size() - 1 - size] == b[b.size() - 1 - size]) {
+  while (size < limit && a[a.size() - 1 - size] == b[b.size() - 1 - size]) {
     ++size;
   }
   return size;
@@ -32,33 +33,34 @@
 
 DocumentDelta MakeSplice(std::string_view old_text, std::string_view new_text) {
   const std::size_t shorter = std::min(old_text.size(), new_text.size());
-  const std::size_t head = CommonHead(old_text, new_text);
-  const std::size_t tail = CommonTail(old_text, new_text, shorter - head);
+  const std::size_t prefix = CommonPrefix(old_text, new_text);
+  const std::size_t suffix = CommonSuffix(old_text, new_text, shorter - prefix);
   DocumentDelta delta;
   delta.form = DeltaForm::kSplice;
-  delta.prefix_bytes = head;
-  delta.suffix_bytes = tail;
+  delta.prefix_bytes = prefix;
+  delta.suffix_bytes = suffix;
   delta.bytes =
-      std::string(new_text.substr(head, new_text.size() - head - tail));
+      std::string(new_text.substr(prefix, new_text.size() - prefix - suffix));
   return delta;
 }
 
-absl::Status Misfit() {
-  return MakeStatus(ErrorCode::kFleetMalformed, "delta does not fit its base");
+absl::Status DeltaMismatch() {
+  return MakeStatus(ErrorCode::kFleetMalformed,
+                    "delta does not match its base");
 }
 
 absl::StatusOr<std::string> ApplyPatch(const std::string& patch,
                                        std::string_view base_text) {
   const Json base = Json::parse(base_text, nullptr, false);
-  const Json steps = Json::parse(patch, nullptr, false);
-  if (base.is_discarded() || steps.is_discarded()) {
-    return Misfit();
+  const Json operations = Json::parse(patch, nullptr, false);
+  if (base.is_discarded() || operations.is_discarded()) {
+    return DeltaMismatch();
   }
-  // The library tells a patch that does not fit by an exception only.
+  // The library reports a mismatched patch only by an exception.
   try {
-    return Dump(base.patch(steps));
+    return Dump(base.patch(operations));
   } catch (const Json::exception&) {
-    return Misfit();
+    return DeltaMismatch();
   }
 }
 
@@ -67,7 +69,7 @@
   const bool fits = delta.prefix_bytes <= base_text.size() &&
                     delta.suffix_bytes <= base_text.size() - delta.prefix_bytes;
   if (!fits) {
-    return Misfit();
+    return DeltaMismatch();
   }
   std::string text(base_text.substr(0, delta.prefix_bytes));
   text += delta.bytes;
@@ -114,7 +116,7 @@
     text = ApplySplice(delta, base_text);
   }
   if (text.ok() && StableHash(*text) != delta.digest) {
-    return Misfit();
+    return DeltaMismatch();
   }
   return text;
 }
--- a/src/configuration/detail/apply.h
+++ b/src/configuration/detail/apply.h
@@ -1,6 +1,7 @@
 /// @file
 /// @brief FleetChangeOperation: an operator's change of the fleet document,
-/// told truly even when an answer is lost and others change it too.
+/// whose outcome is correct even if responses are lost and others write
+/// concurrently.
 #pragma once
 
 #include <cstdint>
@@ -14,29 +15,30 @@
 
 namespace limpetlink {
 
-/// @brief Kind of the fleet documents' objects.
+/// @brief Object kind of fleet documents in the platform's store.
 inline constexpr std::string_view kFleetKind = "fleet";
-/// @brief Kind of the objects that tell whose change each version was.
+/// @brief Object kind of the history records, which name the change and the
+/// author of each version.
 inline constexpr std::string_view kFleetHistoryKind = "fleet-history";
-/// @brief Versions whose history is kept; more than a day of 7,000 changes.
+/// @brief Number of versions whose history is kept. Covers more than a day at
+/// 7,000 changes per day.
 inline constexpr std::uint64_t kMaxHistoryVersions = 10000;
 
-/// @brief A change that an operator wants.
+/// @brief An operator's requested change of a fleet document.
 struct FleetChange {
   std::string fleet_name;
-  std::string change_id;  ///< unique; stands in the document as "change_id"
-  std::uint64_t base_version = 0;  ///< 0: create the document
-  std::string base_text;           ///< what the operator began from
-  std::string text;                ///< JSON with the change id, as by
-                                   ///< StampChange
+  std::string change_id;  ///< unique; stored in the document as "change_id"
+  std::uint64_t base_version = 0;  ///< 0 creates the document
+  std::string base_text;           ///< text of the base version
+  std::string text;  ///< JSON with the change ID, from StampChange
 };
 
-/// @brief How a change ended.
+/// @brief Outcome of a change.
 enum class ApplyOutcome {
-  kApplied,     ///< it is, or was, the document at `version`
-  kConflict,    ///< another change stands at base + 1; this one never applies
-  kNotApplied,  ///< the platform was not reached; this one never applies
-  kUnknown,     ///< a write may still take effect; apply again to learn
+  kApplied,     ///< the change produced `version`
+  kConflict,    ///< another change produced base + 1; this one will never apply
+  kNotApplied,  ///< the platform was not reached; this change will never apply
+  kUnknown,  ///< a write may still take effect; repeat the change to find out
 };
 
 template <>
@@ -48,87 +50,91 @@
       {ApplyOutcome::kUnknown, "unknown"}};
 };
 
-/// @brief The end of a change.
+/// @brief Outcome of a change and the newest version seen.
 struct ApplyResult {
   ApplyOutcome outcome = ApplyOutcome::kUnknown;
-  std::uint64_t version = 0;          ///< of this change, for kApplied
-  std::uint64_t current_version = 0;  ///< newest seen
-  std::string current_text;           ///< newest seen, for kConflict
-  std::string difference;  ///< JSON patch from base_text to current_text, for
-                           ///< kConflict
+  std::uint64_t version = 0;          ///< produced version, for kApplied
+  std::uint64_t current_version = 0;  ///< latest version read
+  std::string current_text;           ///< latest text read, for kConflict
+  /// JSON patch from base_text to current_text, for kConflict.
+  std::string difference;
 };
 
-/// @brief Writes change id and author into a document.
+/// @brief Adds the change ID and the author to a document.
 /// @param json the operator's document
-/// @return canonical JSON; fleet.101 when it is not a JSON object
+/// @return canonical JSON; fleet.101 if the input is not a JSON object
 absl::StatusOr<std::string> StampChange(std::string_view json,
                                         std::string_view change_id,
                                         std::string_view author);
 
-/// @brief Object name of a version's history, as "today/000000000042".
+/// @brief Returns the object name of a version's history record, for example
+/// "today/000000000042".
 std::string HistoryName(const std::string& fleet_name, std::uint64_t version);
 
-/// @brief One conditional change with its lost answers resolved.
+/// @brief Applies one change by a conditional write and resolves lost
+/// responses.
 ///
-/// Before version v is overwritten, whoever overwrites it first creates the
-/// history object of v (change id, author, digest). So a change whose answer
-/// was lost and which others have covered since is found there.
+/// Every writer creates the history record of version v (change ID, author,
+/// digest) before it overwrites v. A change whose response was lost and which
+/// has been overwritten since is found there.
 /// @note Example:
 /// @code
-/// FleetChangeOperation apply(&platform, change, limit);
-/// apply.Start(now);
-/// while (!apply.Result()) { ... apply.OnPlatform(now, result);
-/// apply.Tick(now); }
+/// FleetChangeOperation operation(&platform, change, limit);
+/// operation.Start(now);
+/// while (!operation.Result()) {
+///   operation.OnPlatform(now, result);  // each result of the client
+///   operation.Tick(now);
+/// }
 /// @endcode
 class FleetChangeOperation {
  public:
-  /// @param platform client to use; outlives this
-  /// @param change what is wanted
-  /// @param limit an answer is given by then at the latest
+  /// @param platform client of the metadata store; must outlive this object
+  /// @param change the requested change
+  /// @param limit maximum time from Start to a result
   FleetChangeOperation(MetadataStoreClient* platform, FleetChange change,
                        Duration limit = std::chrono::seconds(30));
 
-  /// @brief Begins.
+  /// @brief Sends the first read.
   void Start(Instant now);
 
-  /// @brief Takes an operation's result.
-  /// @return whether the operation was this change's
+  /// @brief Handles the result of a store operation.
+  /// @return whether this change issued the operation
   bool OnPlatform(Instant now, const StoreResult& result);
 
-  /// @brief Lets time pass.
+  /// @brief Sends due retries and enforces the time limit.
   void Tick(Instant now);
 
-  /// @return when Tick is due at the latest
+  /// @return latest time of the next call to Tick
   Instant NextWakeup() const;
 
-  /// @return how it ended, once it has
+  /// @return the result; empty until the change has finished
   const std::optional<ApplyResult>& Result() const { return this->result; }
 
  private:
-  enum class Step { kRead, kArchive, kWrite, kReadBack, kHistory, kDone };
+  enum class Step { kRead, kArchive, kWrite, kReadBack, kReadHistory, kDone };
 
-  void Begin(Instant now, Step step);
-  void Again(Instant now);
+  void StartStep(Instant now, Step step);
+  void ScheduleRetry(Instant now);
   void HandleRead(Instant now, const StoreResult& read);
-  void HandleArchive(Instant now, const StoreResult& answer);
-  void HandleWrite(Instant now, const StoreResult& answer);
+  void HandleArchive(Instant now, const StoreResult& result);
+  void HandleWrite(Instant now, const StoreResult& result);
   void HandleReadBack(Instant now, const StoreResult& read);
   void HandleHistory(Instant now, const StoreResult& read);
-  void Applied(Instant now, std::uint64_t version);
-  void Conflict();
-  void End(ApplyOutcome outcome);
+  void FinishApplied(Instant now, std::uint64_t version);
+  void FinishConflict();
+  void Finish(ApplyOutcome outcome);
   bool IsOwn(std::string_view json) const;
 
   MetadataStoreClient* platform;
   FleetChange change;
   Duration limit;
   Step step = Step::kRead;
-  bool write_may_run = false;
+  bool write_may_apply = false;
   std::uint64_t op = 0;
   Instant deadline = kNever;
-  Instant again_at = kNever;
-  std::uint64_t seen_version = 0;
-  std::string seen_text;
+  Instant retry_at = kNever;
+  std::uint64_t latest_version = 0;
+  std::string latest_text;
   std::optional<ApplyResult> result;
 };
 
--- a/src/configuration/detail/store.h
+++ b/src/configuration/detail/store.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief ConfigurationStore: which version of the fleet document one host has
-/// in force, and how it learns of newer ones.
+/// @brief ConfigurationStore: the active fleet document of one host and the
+/// protocol that fetches newer versions.
 #pragma once
 
 #include <cstdint>
@@ -20,176 +20,185 @@
 
 namespace limpetlink {
 
-/// @brief What a store is built with.
+/// @brief Identity, intervals and limits of a configuration store.
 struct ConfigurationSettings {
   HostId self;
-  std::string fleet_name;      ///< of the object of kind "fleet"
-  std::uint32_t watchers = 3;  ///< hosts that watch the platform, of all
+  std::string fleet_name;      ///< name of the object of kind "fleet"
+  std::uint32_t watchers = 3;  ///< number of live hosts that watch the platform
   Duration watch_wait{std::chrono::seconds(2)};
-  Duration stale_after{std::chrono::seconds(7)};  ///< no host confirmed the
-                                                  ///< version for so long: all
-                                                  ///< hosts share in polling
-  double shared_polls_per_second = 5.0;           ///< of all hosts together
+  /// All hosts poll in turn once no host has confirmed the version for this
+  /// long.
+  Duration stale_after{std::chrono::seconds(7)};
+  double shared_polls_per_second = 5.0;  ///< total over all hosts
   Duration digest_interval{std::chrono::seconds(2)};
   Duration pull_timeout{std::chrono::seconds(1)};
-  std::uint32_t announce_count = 4;  ///< neighbours told of a new version
+  std::uint32_t announce_count = 4;  ///< neighbours notified of a new version
   Duration propagation_time{std::chrono::seconds(13)};
-  std::uint32_t outage_quorum = 3;  ///< answers needed to begin in an outage
-  Duration freeze_threshold{std::chrono::seconds(3)};  ///< a longer gap between
-                                                       ///< steps asks for a
-                                                       ///< refresh
+  /// Number of peer responses needed to become ready in an outage.
+  std::uint32_t outage_quorum = 3;
+  /// A longer gap between events starts a refresh.
+  Duration freeze_threshold{std::chrono::seconds(3)};
   std::size_t max_delta_bytes = 256UL * 1024UL;
-  double full_documents_per_second = 2.0;  ///< whole documents sent to peers
+  double full_documents_per_second = 2.0;  ///< full documents sent to peers
   std::uint64_t seed = 1;
 };
 
-/// @brief Says whether a document may be applied, as by ParseFleet.
+/// @brief Validates a document before it is applied, for example with
+/// ParseFleet.
 using ValidateDocument = std::function<absl::Status(std::string_view text)>;
 
-/// @brief Send a payload of kind kConfiguration to a peer; may be lost.
+/// @brief Requests that a payload of kind kConfiguration be sent to a peer. The
+/// payload may be lost.
 struct ConfigurationSend {
   HostId to;
   std::string bytes;
 };
 
-/// @brief A newer version is in force from now on.
+/// @brief Reports that a newer version became active.
 struct ConfigurationApplied {
   std::uint64_t version = 0;
   std::string text;  ///< canonical JSON, accepted by ValidateDocument
 };
 
-/// @brief What the store orders.
+/// @brief An action for the owner of the store to carry out.
 using ConfigurationAction =
     std::variant<ConfigurationSend, ConfigurationApplied>;
 
-/// @brief Counted since the start.
+/// @brief Counters since construction.
 struct ConfigurationCounters {
   std::uint64_t applied = 0;
-  std::uint64_t rejected_documents = 0;  ///< did not parse or validate
-  std::uint64_t rejected_messages = 0;   ///< malformed, from peers
+  std::uint64_t rejected_documents = 0;  ///< failed to parse or validate
+  std::uint64_t rejected_messages = 0;   ///< malformed messages from peers
   std::uint64_t deltas_sent = 0;
   std::uint64_t full_documents_sent = 0;
-  std::uint64_t mismatched_deltas =
-      0;  ///< did not fit the base; whole asked for
+  /// Deltas that did not match the base, so the full document was requested.
+  std::uint64_t mismatched_deltas = 0;
   std::uint64_t platform_calls = 0;
 };
 
-/// @brief One host's fleet document.
+/// @brief Keeps one host's fleet document up to date.
 ///
-/// A few hosts, chosen by rendezvous over the live ones, watch the platform.
-/// A new version is announced to some neighbours as a digest (version and age
-/// of its last confirmation); who lacks it pulls a delta. Digests also ride on
-/// the membership's probes (Digest, OnDigest). When no host has confirmed the
-/// version for some seconds, all hosts share in polling at a constant sum.
+/// A few hosts, chosen by rendezvous hashing over the live hosts, watch the
+/// platform. A host announces a new version to some neighbours as a digest (the
+/// version and the time since it was last confirmed); hosts without that
+/// version pull a delta. Digests are also piggybacked on membership probes
+/// (Digest, OnDigest). If no host has confirmed the version for some seconds,
+/// all hosts poll the platform at a constant total rate.
 /// @note Example:
 /// @code
 /// ConfigurationStore store(settings, &platform, validate);
 /// store.Start(now);
 /// store.OnHosts(now, membership.Live(), membership.Neighbours());
-/// if (store.OnPlatform(now, result)) { ... }   // each result of the client
+/// if (store.OnPlatform(now, result)) { ... }  // each result of the client
 /// store.OnPeer(now, envelope.from, envelope.payload);
 /// for (auto& action : store.TakeActions()) { ... }
 /// @endcode
 class ConfigurationStore {
  public:
-  /// @param settings who this host is, and times
-  /// @param platform the host's client; outlives the store
-  /// @param validate judges a document before it is applied
+  /// @param settings identity, intervals and limits
+  /// @param platform the host's client of the metadata store; must outlive this
+  /// object
+  /// @param validate validates a document before it is applied
   ConfigurationStore(ConfigurationSettings settings,
                      MetadataStoreClient* platform, ValidateDocument validate);
 
-  /// @brief Begins to read the newest version.
+  /// @brief Starts reading the newest version.
   void Start(Instant now);
 
-  /// @brief Takes the live hosts.
-  /// @param live all live hosts with this one
-  /// @param neighbours those that this host talks to, without itself
+  /// @brief Updates the live hosts and selects the watchers.
+  /// @param live all live hosts including this one
+  /// @param neighbours hosts that this host exchanges messages with, excluding
+  /// itself
   void OnHosts(Instant now, const std::vector<HostId>& live,
                const std::vector<HostId>& neighbours);
 
-  /// @brief Takes an operation's result.
-  /// @return whether the operation was the store's
+  /// @brief Handles the result of a store operation.
+  /// @return whether this object issued the operation
   bool OnPlatform(Instant now, const StoreResult& result);
 
-  /// @brief Takes a payload of kind kConfiguration. A malformed one is counted.
+  /// @brief Handles a payload of kind kConfiguration. Counts and drops
+  /// malformed ones.
   void OnPeer(Instant now, const HostId& from, std::string_view bytes);
 
-  /// @brief Takes a digest that rode on a probe, as made by Digest.
+  /// @brief Handles a digest, made by Digest, that arrived with a membership
+  /// probe.
   void OnDigest(Instant now, const HostId& from, std::string_view digest);
 
-  /// @brief Lets time pass; notices when the host was frozen.
+  /// @brief Runs due timers and detects whether the host was frozen.
   void Tick(Instant now);
 
-  /// @return when Tick is due at the latest
+  /// @return latest time of the next call to Tick
   Instant NextWakeup() const;
 
-  /// @brief Hands over the orders since the last take.
+  /// @brief Returns and clears the pending actions.
   std::vector<ConfigurationAction> TakeActions();
 
-  /// @return whether the host may serve: it has read the newest version, from
-  /// the platform, or in an outage from several peers after the spreading time
+  /// @return whether the host may serve: it has read the newest version from
+  /// the platform, or, in an outage, from several peers after the propagation
+  /// time
   bool Ready() const { return this->ready; }
 
-  /// @return the version in force; 0 before the first
+  /// @return the active version; 0 before the first
   std::uint64_t Version() const { return this->version; }
 
-  /// @return the canonical text in force; empty before the first
+  /// @return the canonical text of the active version; empty before the first
   const std::string& Text() const { return this->text; }
 
-  /// @return how long ago some host confirmed at the platform that this version
-  /// was the newest, as far as this host knows; Duration::max() when never
+  /// @return time since the last known confirmation, by any host at the
+  /// platform, that this version is the newest; Duration::max() if there was
+  /// none
   Duration ConfirmedAge(Instant now) const;
 
-  /// @return a few bytes for the membership's probes
+  /// @return the encoded digest to send with membership probes
   std::string Digest(Instant now) const;
 
   /// @return whether this host is one of the watchers
   bool IsWatcher() const { return this->watching; }
 
-  /// @return counted since the start
+  /// @return counters since construction
   const ConfigurationCounters& Counters() const { return this->counters; }
 
  private:
   struct Pull {
     HostId peer;
     std::uint64_t version = 0;
-    Instant until = kNever;
+    Instant deadline = kNever;
   };
 
-  // store.cc
+  // Defined in store.cc.
   void Refresh(Instant now);
-  void NoticeGap(Instant now);
-  void AskPlatform(Instant now, Duration wait);
+  void DetectFreeze(Instant now);
+  void QueryPlatform(Instant now, Duration wait);
   void HandleUnchanged(Instant now, Duration age);
-  void AskPeersInOutage(Instant now);
-  void CheckOutageStart(Instant now);
+  void PullFromPeersInOutage(Instant now);
+  void CheckOutageQuorum(Instant now);
   void Confirm(Instant now, Duration age);
-  bool Offer(Instant now, std::uint64_t version, std::string_view text,
-             const DocumentDelta* delta);
-  void Keep(DocumentDelta delta);
+  bool TryApply(Instant now, std::uint64_t version, std::string_view text,
+                const DocumentDelta* delta);
+  void StoreDelta(DocumentDelta delta);
   bool SharedPollDue(Instant now);
   Duration Jitter(Duration full);
-  // spread.cc
+  // Defined in spread.cc.
   ConfigurationDigest OwnDigest(Instant now) const;
   void Announce(Instant now);
   void SendDigest(Instant now);
   void HandleDigest(Instant now, const HostId& from,
                     const ConfigurationDigest& digest);
-  void NoteOutageAnswer(Instant now, const HostId& from,
-                        const ConfigurationDigest& digest);
+  void RecordOutageResponse(Instant now, const HostId& from,
+                            const ConfigurationDigest& digest);
   void HandlePull(Instant now, const HostId& from, std::uint64_t have);
   void HandleDeltas(Instant now, const HostId& from,
                     const ConfigurationDeltas& message);
-  void AdoptChain(Instant now, std::uint64_t version, const std::string& text,
+  void ApplyChain(Instant now, std::uint64_t version, const std::string& text,
                   const std::vector<const DocumentDelta*>& used);
   void StartPull(Instant now);
   void SendPull(Instant now, const HostId& to, std::uint64_t have,
                 std::uint64_t version);
   void CheckPull(Instant now);
   void Send(const HostId& to, std::string bytes);
-  std::vector<DocumentDelta> ChainFrom(std::uint64_t have) const;
+  std::vector<DocumentDelta> DeltasSince(std::uint64_t have) const;
   std::vector<HostId> PickNeighbours(std::uint32_t count);
-  bool TakeWholeToken(Instant now);
+  bool ConsumeFullDocumentToken(Instant now);
 
   ConfigurationSettings settings;
   MetadataStoreClient* platform;
@@ -197,30 +206,31 @@
   Random random;
   std::uint64_t version = 0;
   std::string text;
-  std::uint64_t refused_version = 0;
+  std::uint64_t rejected_version = 0;
   bool ready = false;
   bool started = false;
   bool watching = false;
-  bool platform_away = false;
+  bool platform_unavailable = false;
   std::optional<Instant> confirmed_at;
-  Instant last_step{};
-  Instant refresh_began{};
+  Instant last_event_at{};
+  Instant refresh_started{};
   Instant next_digest{};
-  Instant next_platform{};
+  Instant next_platform_query{};
   Instant next_shared_poll = kNever;
-  Instant next_outage_ask{};
-  std::uint64_t open_op = 0;
-  Instant open_at{};
-  Duration open_wait{0};
+  Instant next_outage_pull{};
+  std::uint64_t pending_op = 0;
+  Instant pending_since{};
+  Duration pending_wait{0};
   Pull pull;
-  std::map<HostId, std::uint64_t> newer_at;  ///< peers known to have newer
-  std::set<HostId> outage_answers;
+  /// Newer version that each peer advertised.
+  std::map<HostId, std::uint64_t> newer_versions;
+  std::set<HostId> outage_responders;
   std::vector<HostId> live;
   std::vector<HostId> neighbours;
-  std::vector<DocumentDelta> deltas;  ///< rising, oldest first
+  std::vector<DocumentDelta> deltas;  ///< ascending by version
   std::size_t delta_bytes = 0;
-  double whole_tokens = 0;
-  Instant whole_at{};
+  double full_document_tokens = 0;
+  Instant tokens_updated_at{};
   ConfigurationCounters counters;
   std::vector<ConfigurationAction> actions;
 };
--- a/src/configuration/detail/wire.h
+++ b/src/configuration/detail/wire.h
@@ -15,33 +15,34 @@
 
 namespace limpetlink {
 
-/// @brief What a host says of its own document.
+/// @brief Version of a host's document and when it was last confirmed.
 struct ConfigurationDigest {
   std::uint64_t version = 0;
-  std::optional<Duration> confirmed_age;  ///< nothing: never confirmed
+  std::optional<Duration> confirmed_age;  ///< empty if never confirmed
   bool ready = false;
 };
 
-/// @brief Asks for what leads from a version to the newest.
+/// @brief Requests the deltas from a version to the newest one.
 struct ConfigurationPull {
-  std::uint64_t have = 0;  ///< 0: the whole document is wanted
+  std::uint64_t have =
+      0;  ///< version that the sender has; 0 requests the full document
 };
 
-/// @brief Answers a pull.
+/// @brief Response to a pull.
 struct ConfigurationDeltas {
   ConfigurationDigest digest;
-  std::vector<DocumentDelta> deltas;  ///< in the order in which they apply
+  std::vector<DocumentDelta> deltas;  ///< in order of application
 };
 
-/// @brief Any message of the configuration.
+/// @brief Any message between configuration stores.
 using ConfigurationMessage =
     std::variant<ConfigurationDigest, ConfigurationPull, ConfigurationDeltas>;
 
-/// @brief Writes a message as CBOR.
+/// @brief Encodes a message as CBOR.
 std::string EncodeConfiguration(const ConfigurationMessage& message);
 
-/// @brief Reads a message within bounds.
-/// @return the message, or peer.101
+/// @brief Decodes a message and enforces the limits on its size and depth.
+/// @return the message; peer.101 if it is malformed
 absl::StatusOr<ConfigurationMessage> DecodeConfiguration(
     std::string_view bytes);
 
--- a/src/configuration/spread.cc
+++ b/src/configuration/spread.cc
@@ -7,9 +7,9 @@
 namespace limpetlink {
 namespace {
 
-constexpr double kWholeBurst = 2.0;
-/// Added to an age at each hop: the way of a message, estimated high, so that
-/// an age passed around never grows younger.
+constexpr double kFullDocumentBurst = 2.0;
+/// Upper estimate of a message's transit time. It is added at each hop so that
+/// a forwarded age never understates the real one.
 constexpr Duration kHopAllowance = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -33,7 +33,7 @@
 
 void ConfigurationStore::OnPeer(Instant now, const HostId& from,
                                 std::string_view bytes) {
-  this->NoticeGap(now);
+  this->DetectFreeze(now);
   const auto message = DecodeConfiguration(bytes);
   if (!message.ok()) {
     ++this->counters.rejected_messages;
@@ -50,29 +50,29 @@
 
 void ConfigurationStore::HandleDigest(Instant now, const HostId& from,
                                       const ConfigurationDigest& digest) {
-  this->NoteOutageAnswer(now, from, digest);
+  this->RecordOutageResponse(now, from, digest);
   if (digest.version == this->version && digest.confirmed_age) {
     this->Confirm(now, *digest.confirmed_age + kHopAllowance);
   }
   if (digest.version < this->version) {
-    this->newer_at.erase(from);
+    this->newer_versions.erase(from);
     this->Send(from, this->Digest(now));
   }
-  if (digest.version > std::max(this->version, this->refused_version)) {
-    this->newer_at[from] = digest.version;
+  if (digest.version > std::max(this->version, this->rejected_version)) {
+    this->newer_versions[from] = digest.version;
     this->StartPull(now);
   }
 }
 
-void ConfigurationStore::NoteOutageAnswer(Instant now, const HostId& from,
-                                          const ConfigurationDigest& digest) {
-  const bool counts =
+void ConfigurationStore::RecordOutageResponse(
+    Instant now, const HostId& from, const ConfigurationDigest& digest) {
+  const bool is_relevant =
       !this->ready && digest.ready &&
-      now - this->refresh_began >= this->settings.propagation_time &&
-      digest.version <= std::max(this->version, this->refused_version);
-  if (counts) {
-    this->outage_answers.insert(from);
-    this->CheckOutageStart(now);
+      now - this->refresh_started >= this->settings.propagation_time &&
+      digest.version <= std::max(this->version, this->rejected_version);
+  if (is_relevant) {
+    this->outage_responders.insert(from);
+    this->CheckOutageQuorum(now);
   }
 }
 
@@ -80,17 +80,17 @@
   if (this->pull.version != 0) {
     return;
   }
-  const std::uint64_t known = std::max(this->version, this->refused_version);
+  const std::uint64_t known = std::max(this->version, this->rejected_version);
   const HostId* best = nullptr;
   std::uint64_t newest = known;
-  for (const auto& [peer, version] : this->newer_at) {
+  for (const auto& [peer, version] : this->newer_versions) {
     if (version > newest) {
       best = &peer;
       newest = version;
     }
   }
   if (best == nullptr) {
-    this->newer_at.clear();
+    this->newer_versions.clear();
     return;
   }
   this->SendPull(now, *best, this->version, newest);
@@ -103,15 +103,15 @@
 }
 
 void ConfigurationStore::CheckPull(Instant now) {
-  if (this->pull.version == 0 || now < this->pull.until) {
+  if (this->pull.version == 0 || now < this->pull.deadline) {
     return;
   }
-  this->newer_at.erase(this->pull.peer);
+  this->newer_versions.erase(this->pull.peer);
   this->pull = Pull{};
   this->StartPull(now);
 }
 
-std::vector<DocumentDelta> ConfigurationStore::ChainFrom(
+std::vector<DocumentDelta> ConfigurationStore::DeltasSince(
     std::uint64_t have) const {
   std::vector<DocumentDelta> chain;
   std::size_t bytes = 0;
@@ -123,45 +123,46 @@
       at = delta.to;
     }
   }
-  const bool reaches = at == this->version && bytes < this->text.size();
-  return reaches ? chain : std::vector<DocumentDelta>{};
+  const bool complete = at == this->version && bytes < this->text.size();
+  return complete ? chain : std::vector<DocumentDelta>{};
 }
 
-bool ConfigurationStore::TakeWholeToken(Instant now) {
-  const double gained = ToSeconds(now - this->whole_at) *
+bool ConfigurationStore::ConsumeFullDocumentToken(Instant now) {
+  const double gained = ToSeconds(now - this->tokens_updated_at) *
                         this->settings.full_documents_per_second;
-  this->whole_tokens = std::min(kWholeBurst, this->whole_tokens + gained);
-  this->whole_at = now;
-  if (this->whole_tokens < 1.0) {
+  this->full_document_tokens =
+      std::min(kFullDocumentBurst, this->full_document_tokens + gained);
+  this->tokens_updated_at = now;
+  if (this->full_document_tokens < 1.0) {
     return false;
   }
-  this->whole_tokens -= 1.0;
+  this->full_document_tokens -= 1.0;
   return true;
 }
 
 void ConfigurationStore::HandlePull(Instant now, const HostId& from,
                                     std::uint64_t have) {
-  ConfigurationDeltas answer;
-  answer.digest = this->OwnDigest(now);
+  ConfigurationDeltas response;
+  response.digest = this->OwnDigest(now);
   if (have >= this->version) {
     this->Send(from, this->Digest(now));
     return;
   }
-  answer.deltas =
-      have == 0 ? std::vector<DocumentDelta>{} : this->ChainFrom(have);
-  if (!answer.deltas.empty()) {
+  response.deltas =
+      have == 0 ? std::vector<DocumentDelta>{} : this->DeltasSince(have);
+  if (!response.deltas.empty()) {
     ++this->counters.deltas_sent;
-  } else if (this->TakeWholeToken(now)) {
+  } else if (this->ConsumeFullDocumentToken(now)) {
     ++this->counters.full_documents_sent;
-    DocumentDelta whole;
-    whole.to = this->version;
-    whole.bytes = this->text;
-    whole.digest = StableHash(this->text);
-    answer.deltas.push_back(std::move(whole));
+    DocumentDelta full;
+    full.to = this->version;
+    full.bytes = this->text;
+    full.digest = StableHash(this->text);
+    response.deltas.push_back(std::move(full));
   } else {
-    return;  // the peer asks another host, or again
+    return;  // the peer pulls from another host or retries
   }
-  this->Send(from, EncodeConfiguration(answer));
+  this->Send(from, EncodeConfiguration(response));
 }
 
 void ConfigurationStore::HandleDeltas(Instant now, const HostId& from,
@@ -173,8 +174,8 @@
   std::string text = this->text;
   std::vector<const DocumentDelta*> used;
   for (const DocumentDelta& delta : message.deltas) {
-    const bool whole = delta.form == DeltaForm::kFull;
-    if (delta.to <= at || (!whole && delta.from != at)) {
+    const bool full = delta.form == DeltaForm::kFull;
+    if (delta.to <= at || (!full && delta.from != at)) {
       continue;
     }
     auto next = ApplyDelta(delta, text);
@@ -187,20 +188,20 @@
     at = delta.to;
     used.push_back(&delta);
   }
-  this->AdoptChain(now, at, text, used);
+  this->ApplyChain(now, at, text, used);
   this->HandleDigest(now, from, message.digest);
 }
 
-void ConfigurationStore::AdoptChain(
+void ConfigurationStore::ApplyChain(
     Instant now, std::uint64_t version, const std::string& text,
     const std::vector<const DocumentDelta*>& used) {
   if (used.empty()) {
     return;
   }
   for (std::size_t i = 0; i + 1 < used.size(); ++i) {
-    this->Keep(*used[i]);
+    this->StoreDelta(*used[i]);
   }
-  this->Offer(now, version, text, used.back());
+  this->TryApply(now, version, text, used.back());
 }
 
 std::vector<HostId> ConfigurationStore::PickNeighbours(std::uint32_t count) {
--- a/src/configuration/store.cc
+++ b/src/configuration/store.cc
@@ -7,9 +7,9 @@
 namespace limpetlink {
 namespace {
 
-constexpr Duration kWatchSpacing = std::chrono::milliseconds(200);
-constexpr Duration kRetryPlatform = std::chrono::milliseconds(800);
-constexpr Duration kAskPeersEvery = std::chrono::seconds(1);
+constexpr Duration kWatchInterval = std::chrono::milliseconds(200);
+constexpr Duration kPlatformRetryDelay = std::chrono::milliseconds(800);
+constexpr Duration kOutagePullInterval = std::chrono::seconds(1);
 constexpr std::uint32_t kExtraOutagePeers = 2;
 
 }  // namespace
@@ -25,29 +25,29 @@
 
 void ConfigurationStore::Start(Instant now) {
   this->started = true;
-  this->last_step = now;
+  this->last_event_at = now;
   this->next_digest = now + this->settings.digest_interval;
   this->Refresh(now);
 }
 
 void ConfigurationStore::Refresh(Instant now) {
   this->ready = false;
-  this->refresh_began = now;
-  this->platform_away = false;
-  this->outage_answers.clear();
+  this->refresh_started = now;
+  this->platform_unavailable = false;
+  this->outage_responders.clear();
   this->pull = Pull{};
-  if (this->open_op != 0) {
-    this->platform->Cancel(StoreOp{this->open_op});
-    this->open_op = 0;
+  if (this->pending_op != 0) {
+    this->platform->Cancel(StoreOp{this->pending_op});
+    this->pending_op = 0;
   }
-  this->AskPlatform(now, Duration{0});
+  this->QueryPlatform(now, Duration{0});
 }
 
-void ConfigurationStore::NoticeGap(Instant now) {
-  const bool frozen =
-      this->started && now - this->last_step > this->settings.freeze_threshold;
-  this->last_step = std::max(this->last_step, now);
-  if (frozen) {
+void ConfigurationStore::DetectFreeze(Instant now) {
+  const bool was_frozen = this->started && now - this->last_event_at >
+                                               this->settings.freeze_threshold;
+  this->last_event_at = std::max(this->last_event_at, now);
+  if (was_frozen) {
     this->Refresh(now);
   }
 }
@@ -58,68 +58,69 @@
   this->neighbours = neighbours;
   const std::vector<HostId> chosen = RendezvousOwners(
       "watch/" + this->settings.fleet_name, live, this->settings.watchers);
-  const bool watches = std::find(chosen.begin(), chosen.end(),
-                                 this->settings.self) != chosen.end();
-  if (watches && !this->watching) {
-    this->next_platform = now;
+  const bool is_watcher = std::find(chosen.begin(), chosen.end(),
+                                    this->settings.self) != chosen.end();
+  if (is_watcher && !this->watching) {
+    this->next_platform_query = now;
   }
-  this->watching = watches;
+  this->watching = is_watcher;
 }
 
-void ConfigurationStore::AskPlatform(Instant now, Duration wait) {
-  if (this->open_op != 0) {
+void ConfigurationStore::QueryPlatform(Instant now, Duration wait) {
+  if (this->pending_op != 0) {
     return;
   }
   const ObjectKey key{std::string(kFleetKind), this->settings.fleet_name};
-  const std::uint64_t known = std::max(this->version, this->refused_version);
+  const std::uint64_t known = std::max(this->version, this->rejected_version);
   const StoreOp op = known == 0 ? this->platform->Get(now, key)
                                 : this->platform->Watch(now, key, known, wait);
-  this->open_op = op.value;
-  this->open_at = now;
-  this->open_wait = known == 0 ? Duration{0} : wait;
+  this->pending_op = op.value;
+  this->pending_since = now;
+  this->pending_wait = known == 0 ? Duration{0} : wait;
   ++this->counters.platform_calls;
 }
 
 bool ConfigurationStore::OnPlatform(Instant now, const StoreResult& result) {
-  this->NoticeGap(now);
-  if (result.op.value != this->open_op || this->open_op == 0) {
+  this->DetectFreeze(now);
+  if (result.op.value != this->pending_op || this->pending_op == 0) {
     return false;
   }
-  this->open_op = 0;
-  const Duration age = now - this->open_at;
+  this->pending_op = 0;
+  const Duration age = now - this->pending_since;
   switch (result.status) {
     case StoreStatus::kOk:
-      this->Offer(now, result.version, result.bytes, nullptr);
-      this->next_platform = now + kWatchSpacing;
+      this->TryApply(now, result.version, result.bytes, nullptr);
+      this->next_platform_query = now + kWatchInterval;
       if (result.version == this->version) {
         this->Confirm(now, age);
         this->ready = true;
       } else if (result.version > this->version) {
-        this->platform_away = true;  // refused: an older one is all there is
+        // The new version was rejected; only an older one is available.
+        this->platform_unavailable = true;
       }
       break;
     case StoreStatus::kUnchanged:
       this->HandleUnchanged(now, age);
       break;
     case StoreStatus::kAbsent:
-      this->next_platform = now + this->Jitter(kRetryPlatform);
+      this->next_platform_query = now + this->Jitter(kPlatformRetryDelay);
       break;
     default:
-      this->platform_away = true;
-      this->next_platform =
-          now + this->Jitter(std::max(kRetryPlatform, result.retry_after));
+      this->platform_unavailable = true;
+      this->next_platform_query =
+          now + this->Jitter(std::max(kPlatformRetryDelay, result.retry_after));
       break;
   }
   return true;
 }
 
 void ConfigurationStore::HandleUnchanged(Instant now, Duration age) {
-  this->next_platform = now + kWatchSpacing;
-  if (this->refused_version > this->version) {
-    this->platform_away = true;
+  this->next_platform_query = now + kWatchInterval;
+  if (this->rejected_version > this->version) {
+    this->platform_unavailable = true;
     return;
   }
-  this->Confirm(now, std::max(Duration{0}, age - this->open_wait));
+  this->Confirm(now, std::max(Duration{0}, age - this->pending_wait));
   this->ready = this->version != 0;
 }
 
@@ -138,23 +139,23 @@
   return this->confirmed_at ? now - *this->confirmed_at : Duration::max();
 }
 
-bool ConfigurationStore::Offer(Instant now, std::uint64_t version,
-                               std::string_view text,
-                               const DocumentDelta* delta) {
-  if (version <= this->version || version == this->refused_version) {
+bool ConfigurationStore::TryApply(Instant now, std::uint64_t version,
+                                  std::string_view text,
+                                  const DocumentDelta* delta) {
+  if (version <= this->version || version == this->rejected_version) {
     return false;
   }
   const auto canonical = CanonicalText(text);
   const bool valid = canonical.ok() && this->validate(*canonical).ok();
   if (!valid) {
     ++this->counters.rejected_documents;
-    this->refused_version = std::max(this->refused_version, version);
+    this->rejected_version = std::max(this->rejected_version, version);
     return false;
   }
   if (delta != nullptr) {
-    this->Keep(*delta);
+    this->StoreDelta(*delta);
   } else if (this->version != 0) {
-    this->Keep(MakeDelta(this->version, this->text, version, *canonical));
+    this->StoreDelta(MakeDelta(this->version, this->text, version, *canonical));
   }
   this->version = version;
   this->text = *canonical;
@@ -165,7 +166,7 @@
   return true;
 }
 
-void ConfigurationStore::Keep(DocumentDelta delta) {
+void ConfigurationStore::StoreDelta(DocumentDelta delta) {
   if (delta.form == DeltaForm::kFull) {
     this->deltas.clear();
     this->delta_bytes = 0;
@@ -200,43 +201,43 @@
 }
 
 void ConfigurationStore::Tick(Instant now) {
-  this->NoticeGap(now);
+  this->DetectFreeze(now);
   this->CheckPull(now);
-  if (this->next_platform <= now && (this->watching || !this->ready)) {
+  if (this->next_platform_query <= now && (this->watching || !this->ready)) {
     const bool wait = this->ready && this->watching;
-    this->AskPlatform(now, wait ? this->settings.watch_wait : Duration{0});
+    this->QueryPlatform(now, wait ? this->settings.watch_wait : Duration{0});
   }
   if (this->SharedPollDue(now)) {
-    this->AskPlatform(now, Duration{0});
+    this->QueryPlatform(now, Duration{0});
   }
   if (this->next_digest <= now) {
     this->next_digest = now + this->Jitter(this->settings.digest_interval);
     this->SendDigest(now);
   }
-  if (!this->ready && this->platform_away) {
-    this->AskPeersInOutage(now);
-    this->CheckOutageStart(now);
+  if (!this->ready && this->platform_unavailable) {
+    this->PullFromPeersInOutage(now);
+    this->CheckOutageQuorum(now);
   }
 }
 
-void ConfigurationStore::AskPeersInOutage(Instant now) {
-  if (now < this->next_outage_ask) {
+void ConfigurationStore::PullFromPeersInOutage(Instant now) {
+  if (now < this->next_outage_pull) {
     return;
   }
-  this->next_outage_ask = now + kAskPeersEvery;
+  this->next_outage_pull = now + kOutagePullInterval;
   const std::uint32_t count = this->settings.outage_quorum + kExtraOutagePeers;
   for (const HostId& peer : this->PickNeighbours(count)) {
     this->Send(peer, EncodeConfiguration(ConfigurationPull{this->version}));
   }
 }
 
-void ConfigurationStore::CheckOutageStart(Instant now) {
+void ConfigurationStore::CheckOutageQuorum(Instant now) {
   const std::size_t others = this->live.size() - 1;
   const std::size_t needed =
       std::min<std::size_t>(this->settings.outage_quorum, others);
   const bool waited =
-      now - this->refresh_began >= this->settings.propagation_time;
-  const bool enough = needed > 0 && this->outage_answers.size() >= needed;
+      now - this->refresh_started >= this->settings.propagation_time;
+  const bool enough = needed > 0 && this->outage_responders.size() >= needed;
   if (waited && enough && this->version != 0 && this->pull.version == 0) {
     this->ready = true;
   }
@@ -244,14 +245,14 @@
 
 Instant ConfigurationStore::NextWakeup() const {
   Instant next = this->next_digest;
-  if (this->open_op == 0 && (this->watching || !this->ready)) {
-    next = std::min(next, this->next_platform);
+  if (this->pending_op == 0 && (this->watching || !this->ready)) {
+    next = std::min(next, this->next_platform_query);
   }
   if (this->pull.version != 0) {
-    next = std::min(next, this->pull.until);
+    next = std::min(next, this->pull.deadline);
   }
-  if (!this->ready && this->platform_away) {
-    next = std::min(next, this->next_outage_ask);
+  if (!this->ready && this->platform_unavailable) {
+    next = std::min(next, this->next_outage_pull);
   }
   return std::min(next, this->next_shared_poll);
 }
--- a/src/configuration/tests/apply_test.cc
+++ b/src/configuration/tests/apply_test.cc
@@ -14,9 +14,10 @@
 using testing::CallFate;
 using testing::FakePlatform;
 
-constexpr Duration kLateBy = seconds(7);
+constexpr Duration kLateDelay = seconds(7);
 
-/// @brief One operator's change against the fake platform; each call may fail.
+/// @brief Runs one operator's change against the fake platform, where any call
+/// may fail.
 class ApplyFixture {
  public:
   ApplyFixture() {
@@ -30,8 +31,8 @@
     return *StampChange(R"({"name":"today","weights":{}})", change_id, "ann");
   }
 
-  /// @brief Another operator's change in the same order of writes.
-  void OtherWrites(const std::string& change_id) {
+  /// @brief Applies another operator's change with the same sequence of writes.
+  void ApplyOtherChange(const std::string& change_id) {
     const auto current = this->platform.objects["fleet/today"];
     const std::string own = nlohmann::json::parse(current.bytes)["change_id"];
     const std::string record = nlohmann::json{{"change_id", own}}.dump();
@@ -49,27 +50,27 @@
     change.base_version = 4;
     change.base_text = Text("base");
     change.text = Text("mine");
-    FleetChangeOperation apply(this->client.get(), change);
-    apply.Start(this->now);
-    while (!apply.Result()) {
-      this->Carry(&apply);
+    FleetChangeOperation operation(this->client.get(), change);
+    operation.Start(this->now);
+    while (!operation.Result()) {
+      this->ExchangeMessages(&operation);
       this->now += milliseconds(10);
       this->client->Tick(this->now);
-      apply.Tick(this->now);
+      operation.Tick(this->now);
     }
-    this->RunLate(this->now + kLateBy);  // whatever is still on its way lands
-    return *apply.Result();
+    this->DeliverLateCalls(this->now + kLateDelay);  // all remaining calls
+    return *operation.Result();
   }
 
-  void Carry(FleetChangeOperation* apply) {
-    this->RunLate(this->now);
+  void ExchangeMessages(FleetChangeOperation* operation) {
+    this->DeliverLateCalls(this->now);
     for (const Action& action : this->client->TakeActions()) {
       if (const auto* call = std::get_if<HttpCall>(&action)) {
         this->Serve(*call);
       }
     }
     for (const StoreResult& result : this->client->TakeResults()) {
-      apply->OnPlatform(this->now, result);
+      operation->OnPlatform(this->now, result);
     }
   }
 
@@ -79,30 +80,30 @@
         number == this->failing_call ? this->failing_fate : CallFate::kServed;
     const bool late = fate == CallFate::kHangs;
     if (late) {
-      this->late_calls.emplace_back(this->now + kLateBy, call);
+      this->late_calls.emplace_back(this->now + kLateDelay, call);
       this->client->OnDone(this->now, {call.id, HttpEnd::kCut});
     } else if (fate == CallFate::kNotConnected) {
       this->client->OnDone(this->now, {call.id, HttpEnd::kNotConnected});
     } else if (fate == CallFate::kOutage || fate == CallFate::kThrottled) {
-      this->Answer(call, {fate == CallFate::kOutage ? 503 : 429, 0, ""});
+      this->Respond(call, {fate == CallFate::kOutage ? 503 : 429, 0, ""});
     } else {
-      const auto answer = this->platform.Serve(call);
-      this->NoteOwn();
+      const auto response = this->platform.Serve(call);
+      this->RecordOwnVersion();
       if (fate == CallFate::kAnswerLost) {
         this->client->OnDone(this->now, {call.id, HttpEnd::kCut});
       } else {
-        this->Answer(call, answer);
+        this->Respond(call, response);
       }
     }
     if (number == this->other_after) {
       for (int i = 0; i < this->other_writes; ++i) {
-        this->OtherWrites("other-" + std::to_string(i));
+        this->ApplyOtherChange("other-" + std::to_string(i));
       }
     }
   }
 
-  void Answer(const HttpCall& call, const FakePlatform::Answer& answer) {
-    for (const Event& event : testing::ToEvents(call.id, answer)) {
+  void Respond(const HttpCall& call, const FakePlatform::Answer& response) {
+    for (const Event& event : testing::ToEvents(call.id, response)) {
       if (const auto* head = std::get_if<HttpHead>(&event)) {
         this->client->OnHead(this->now, *head);
       } else if (const auto* chunk = std::get_if<HttpChunk>(&event)) {
@@ -113,22 +114,24 @@
     }
   }
 
-  void RunLate(Instant until) {
+  void DeliverLateCalls(Instant until) {
     for (auto& [at, call] : this->late_calls) {
       if (at <= until && !call.url.empty()) {
         this->platform.Serve(call);
-        this->NoteOwn();
+        this->RecordOwnVersion();
         call.url.clear();
       }
     }
-    const auto done = [](const auto& late) { return late.second.url.empty(); };
-    this->late_calls.erase(
-        std::remove_if(this->late_calls.begin(), this->late_calls.end(), done),
-        this->late_calls.end());
+    const auto is_delivered = [](const auto& late) {
+      return late.second.url.empty();
+    };
+    this->late_calls.erase(std::remove_if(this->late_calls.begin(),
+                                          this->late_calls.end(), is_delivered),
+                           this->late_calls.end());
   }
 
-  /// @brief Remembers each version at which the own change ever stood.
-  void NoteOwn() {
+  /// @brief Records every version that the change under test produced.
+  void RecordOwnVersion() {
     const auto& object = this->platform.objects["fleet/today"];
     const auto document = nlohmann::json::parse(object.bytes);
     if (document["change_id"] == "mine") {
@@ -149,7 +152,7 @@
   Instant now{seconds(50)};
 };
 
-TEST_CASE_METHOD(ApplyFixture, "fleet change, nothing fails, is applied once") {
+TEST_CASE_METHOD(ApplyFixture, "fleet change, no failures, is applied once") {
   const ApplyResult result = this->Run();
   CHECK(result.outcome == ApplyOutcome::kApplied);
   CHECK(result.version == 5);
@@ -158,9 +161,9 @@
 }
 
 TEST_CASE_METHOD(ApplyFixture,
-                 "fleet change, another change came first, ends as a conflict "
-                 "with the difference") {
-  this->OtherWrites("other");
+                 "fleet change, another change applied first, ends as a "
+                 "conflict with the difference") {
+  this->ApplyOtherChange("other");
   const ApplyResult result = this->Run();
   CHECK(result.outcome == ApplyOutcome::kConflict);
   CHECK(result.current_version == 5);
@@ -169,8 +172,8 @@
 }
 
 TEST_CASE(
-    "fleet change, every fault at every call with other changes at every "
-    "call, is told truly") {
+    "fleet change, every failure at every call and other changes after every "
+    "call, reports its real outcome") {
   constexpr CallFate kFates[] = {CallFate::kServed, CallFate::kAnswerLost,
                                  CallFate::kHangs,  CallFate::kNotConnected,
                                  CallFate::kOutage, CallFate::kThrottled};
@@ -206,9 +209,9 @@
                  "its own earlier success") {
   REQUIRE(this->Run().outcome == ApplyOutcome::kApplied);
   SECTION("still the newest") { CHECK(this->Run().version == 5); }
-  SECTION("covered by others") {
-    this->OtherWrites("other-1");
-    this->OtherWrites("other-2");
+  SECTION("overwritten by others") {
+    this->ApplyOtherChange("other-1");
+    this->ApplyOtherChange("other-2");
     const ApplyResult again = this->Run();
     CHECK(again.outcome == ApplyOutcome::kApplied);
     CHECK(again.version == 5);
@@ -217,8 +220,8 @@
 }
 
 TEST_CASE_METHOD(ApplyFixture,
-                 "fleet change, platform away throughout, ends in time as not "
-                 "applied") {
+                 "fleet change, platform unavailable throughout, ends in time "
+                 "as not applied") {
   const Instant began = this->now;
   this->client = std::make_unique<MetadataStoreClient>(
       MetadataStoreSettings{"http://10.0.0.9:80", {0, 0, 0, 0}},
--- a/src/configuration/tests/delta_test.cc
+++ b/src/configuration/tests/delta_test.cc
@@ -23,7 +23,7 @@
 };
 
 TEST_CASE_METHOD(DeltaFixture,
-                 "delta, any two documents, leads from one to the other") {
+                 "delta, any two documents, converts one into the other") {
   Random random(11);
   for (int round = 0; round < 300; ++round) {
     Json from = Document(1 + random.Below(20));
@@ -45,8 +45,8 @@
 }
 
 TEST_CASE_METHOD(DeltaFixture,
-                 "delta, one row changed, removed or several changed, stays "
-                 "small beside the document") {
+                 "delta, one element changed, removed or several changed, is "
+                 "small compared with the document") {
   const Json from = Document(2000);
   Json to = from;
   SECTION("changed") { to["upstreams"][700]["url"] = "http://10.0.0.3:1"; }
@@ -60,7 +60,7 @@
   CHECK(from.dump().size() > 100000);
 }
 
-TEST_CASE_METHOD(DeltaFixture, "delta, applied to another base, is refused") {
+TEST_CASE_METHOD(DeltaFixture, "delta, applied to another base, is rejected") {
   const std::string base = Document(30).dump();
   Json to = Document(30);
   to["upstreams"][3]["url"] = "http://10.0.0.3:1";
@@ -71,25 +71,25 @@
 }
 
 TEST_CASE(
-    "configuration message, changed bytes, are refused or read and stop "
-    "nothing") {
+    "configuration message, corrupted bytes, are rejected or decoded without a "
+    "crash") {
   ConfigurationDeltas message;
   message.digest = {7, std::chrono::seconds(2), true};
   message.deltas.push_back({6, 7, DeltaForm::kSplice, 3, 4, "abc", 99});
   const std::string good = EncodeConfiguration(message);
   const auto read = DecodeConfiguration(good);
   REQUIRE(read.ok());
-  const auto& same = std::get<ConfigurationDeltas>(*read);
-  CHECK(same.digest.confirmed_age == message.digest.confirmed_age);
-  CHECK(same.deltas.at(0).bytes == "abc");
+  const auto& decoded = std::get<ConfigurationDeltas>(*read);
+  CHECK(decoded.digest.confirmed_age == message.digest.confirmed_age);
+  CHECK(decoded.deltas.at(0).bytes == "abc");
   Random random(5);
-  int refused = 0;
+  int rejected = 0;
   for (int i = 0; i < 20000; ++i) {
     std::string bytes = good;
     bytes[random.Below(bytes.size())] = static_cast<char>(random() & 0xFFU);
-    refused += DecodeConfiguration(bytes).ok() ? 0 : 1;
+    rejected += DecodeConfiguration(bytes).ok() ? 0 : 1;
   }
-  CHECK(refused > 0);
+  CHECK(rejected > 0);
 }
 
 }  // namespace
--- a/src/configuration/tests/store_test.cc
+++ b/src/configuration/tests/store_test.cc
@@ -8,7 +8,7 @@
 
 using std::chrono::seconds;
 
-/// @brief One store whose platform answers are given by hand.
+/// @brief One store with scripted platform responses.
 class StoreFixture {
  public:
   StoreFixture()
@@ -19,7 +19,7 @@
     const std::vector<HostId> live = {HostId{"entry-1"}, HostId{"entry-2"}};
     this->store.OnHosts(this->now, live, {HostId{"entry-2"}});
     this->store.Start(this->now);
-    this->Answer({200, 5, R"({"mark":"v5"})"});
+    this->Respond({200, 5, R"({"mark":"v5"})"});
   }
 
   static ConfigurationSettings Settings() {
@@ -29,15 +29,15 @@
     return settings;
   }
 
-  /// @brief Answers the open call, if there is one.
-  void Answer(const testing::FakePlatform::Answer& answer) {
+  /// @brief Responds to the pending call, if there is one.
+  void Respond(const testing::FakePlatform::Answer& response) {
     for (const Action& action : this->client.TakeActions()) {
       const auto* call = std::get_if<HttpCall>(&action);
       if (call == nullptr) {
         continue;
       }
-      ++this->answered;
-      for (const Event& event : testing::ToEvents(call->id, answer)) {
+      ++this->response_count;
+      for (const Event& event : testing::ToEvents(call->id, response)) {
         if (const auto* head = std::get_if<HttpHead>(&event)) {
           this->client.OnHead(this->now, *head);
         } else if (const auto* chunk = std::get_if<HttpChunk>(&event)) {
@@ -52,39 +52,39 @@
     }
   }
 
-  void PeerOffers(std::uint64_t version, const std::string& text) {
+  void OfferFromPeer(std::uint64_t version, const std::string& text) {
     ConfigurationDeltas message;
     message.digest = {version, std::nullopt, true};
-    DocumentDelta whole;
-    whole.to = version;
-    whole.bytes = text;
-    whole.digest = StableHash(text);
-    message.deltas.push_back(whole);
+    DocumentDelta full;
+    full.to = version;
+    full.bytes = text;
+    full.digest = StableHash(text);
+    message.deltas.push_back(full);
     this->store.OnPeer(this->now, HostId{"entry-2"},
                        EncodeConfiguration(message));
   }
 
   std::uint64_t last_call = 0;
-  int answered = 0;
+  int response_count = 0;
   MetadataStoreClient client;
   ConfigurationStore store;
   Instant now{seconds(100)};
 };
 
-TEST_CASE_METHOD(StoreFixture,
-                 "configuration store, older versions from anywhere, are never "
-                 "adopted") {
+TEST_CASE_METHOD(
+    StoreFixture,
+    "configuration store, older versions from any source, are never applied") {
   REQUIRE(this->store.Version() == 5);
   SECTION("from a peer") {
-    this->PeerOffers(3, R"({"mark":"v3"})");
-    this->PeerOffers(5, R"({"mark":"other"})");
+    this->OfferFromPeer(3, R"({"mark":"v3"})");
+    this->OfferFromPeer(5, R"({"mark":"other"})");
   }
-  SECTION("from a platform that reads an old copy") {
-    this->answered = 0;
+  SECTION("from a platform that returns a stale copy") {
+    this->response_count = 0;
     this->now += seconds(1);
     this->store.Tick(this->now);
-    this->Answer({200, 4, R"({"mark":"v4"})"});
-    REQUIRE(this->answered > 0);
+    this->Respond({200, 4, R"({"mark":"v4"})"});
+    REQUIRE(this->response_count > 0);
     CHECK(this->store.ConfirmedAge(this->now) >= seconds(1));
   }
   CHECK(this->store.Version() == 5);
@@ -93,19 +93,19 @@
 }
 
 TEST_CASE_METHOD(StoreFixture,
-                 "configuration store, a platform's answer from before a "
-                 "freeze arrives first, does not count") {
+                 "configuration store, a platform's response from before a "
+                 "freeze arrives first, is ignored") {
   this->now += seconds(1);
   this->store.Tick(this->now);
   this->now += seconds(30);
-  this->Answer({204, 0, ""});
+  this->Respond({204, 0, ""});
   CHECK_FALSE(this->store.Ready());
   CHECK(this->store.ConfirmedAge(this->now) > seconds(30));
 }
 
 TEST_CASE_METHOD(StoreFixture,
                  "configuration store, a peer's bytes do not match their "
-                 "digest, are not adopted") {
+                 "digest, are not applied") {
   ConfigurationDeltas message;
   message.digest = {6, std::nullopt, true};
   message.deltas.push_back(
--- a/src/configuration/wire.cc
+++ b/src/configuration/wire.cc
@@ -13,8 +13,9 @@
 constexpr std::uint64_t kDigestTag = 0;
 constexpr std::uint64_t kPullTag = 1;
 constexpr std::uint64_t kDeltasTag = 2;
-constexpr std::uint64_t kLongestAge = 1000ULL * 3600ULL * 24ULL * 365ULL;
-constexpr CborBounds kBounds{kMaxPeerFrameBytes, 4, 4096};
+constexpr std::uint64_t kMaxAgeMilliseconds =
+    1000ULL * 3600ULL * 24ULL * 365ULL;
+constexpr CborBounds kLimits{kMaxPeerFrameBytes, 4, 4096};
 
 Json DigestJson(const ConfigurationDigest& digest) {
   Json age = nullptr;
@@ -34,18 +35,18 @@
 }
 
 bool ReadDigest(const Json& value, ConfigurationDigest* digest) {
-  const bool shape = value.is_array() && value.size() == 4 &&
-                     value[1].is_number_unsigned() &&
-                     (value[2].is_null() || value[2].is_number_unsigned()) &&
-                     value[3].is_boolean();
-  if (!shape) {
+  const bool well_formed =
+      value.is_array() && value.size() == 4 && value[1].is_number_unsigned() &&
+      (value[2].is_null() || value[2].is_number_unsigned()) &&
+      value[3].is_boolean();
+  if (!well_formed) {
     return false;
   }
   digest->version = value[1].get<std::uint64_t>();
   digest->ready = value[3].get<bool>();
   if (!value[2].is_null()) {
     const std::uint64_t age =
-        std::min(value[2].get<std::uint64_t>(), kLongestAge);
+        std::min(value[2].get<std::uint64_t>(), kMaxAgeMilliseconds);
     digest->confirmed_age = milliseconds(age);
   }
   return true;
@@ -74,9 +75,9 @@
 }
 
 bool ReadDeltas(const Json& value, ConfigurationDeltas* message) {
-  const bool shape = value.size() == 3 && value[2].is_array() &&
-                     ReadDigest(value[1], &message->digest);
-  if (!shape) {
+  const bool well_formed = value.size() == 3 && value[2].is_array() &&
+                           ReadDigest(value[1], &message->digest);
+  if (!well_formed) {
     return false;
   }
   for (const Json& row : value[2]) {
@@ -113,7 +114,7 @@
 
 absl::StatusOr<ConfigurationMessage> DecodeConfiguration(
     std::string_view bytes) {
-  const auto value = DecodeCbor(bytes, kBounds);
+  const auto value = DecodeCbor(bytes, kLimits);
   if (!value.ok()) {
     return value.status();
   }
