--- a/src/fleet/check.cc
+++ b/src/fleet/check.cc
@@ -11,24 +11,24 @@
 namespace limpetlink {
 namespace {
 
-/// Remembers where each text stood first and reports the second place.
-class FirstPlaces {
+/// @brief Records the first pointer of each value and reports duplicates.
+class UniquenessChecker {
  public:
-  explicit FirstPlaces(FleetValidationErrors* errors) : errors(errors) {}
+  explicit UniquenessChecker(FleetValidationErrors* errors) : errors(errors) {}
 
   void Add(const std::string& text, const std::string& pointer) {
     if (text.empty()) {
-      return;  // the member is at fault already
+      return;  // an invalid or missing member, reported already
     }
-    const auto [place, added] = this->places.emplace(text, pointer);
+    const auto [first, added] = this->first_pointers.emplace(text, pointer);
     if (!added) {
       this->errors->push_back(
-          {pointer, absl::StrCat("stands already at ", place->second)});
+          {pointer, absl::StrCat("duplicates the value at ", first->second)});
     }
   }
 
  private:
-  std::map<std::string, std::string> places;
+  std::map<std::string, std::string> first_pointers;
   FleetValidationErrors* errors;
 };
 
@@ -38,25 +38,25 @@
   return MemberPointer(element, member);
 }
 
-/// Checks one member of every element of a list for texts that stand twice.
+/// Reports values of one member that occur in several elements of a list.
 template <typename T, typename Get>
 void CheckUnique(const std::vector<T>& elements, std::string_view list,
                  std::string_view member, Get get,
                  FleetValidationErrors* errors) {
-  FirstPlaces places(errors);
+  UniquenessChecker checker(errors);
   for (std::size_t i = 0; i < elements.size(); ++i) {
-    places.Add(get(elements[i]), At(list, i, member));
+    checker.Add(get(elements[i]), At(list, i, member));
   }
 }
 
 void CheckKeyDigests(const std::vector<Organisation>& organisations,
                      FleetValidationErrors* errors) {
-  FirstPlaces places(errors);
+  UniquenessChecker checker(errors);
   for (std::size_t i = 0; i < organisations.size(); ++i) {
     const std::string list = At("organisations", i, "key_digests");
     const auto& digests = organisations[i].key_digests;
     for (std::size_t k = 0; k < digests.size(); ++k) {
-      places.Add(digests[k], ElementPointer(list, k));
+      checker.Add(digests[k], ElementPointer(list, k));
     }
   }
 }
@@ -64,10 +64,10 @@
 void CheckAdapters(const std::vector<Model>& models,
                    FleetValidationErrors* errors) {
   for (std::size_t i = 0; i < models.size(); ++i) {
-    FirstPlaces places(errors);
+    UniquenessChecker checker(errors);
     const std::string list = At("models", i, "adapters");
     for (std::size_t k = 0; k < models[i].adapters.size(); ++k) {
-      places.Add(models[i].adapters[k], ElementPointer(list, k));
+      checker.Add(models[i].adapters[k], ElementPointer(list, k));
     }
   }
 }
@@ -88,14 +88,14 @@
 
 std::string IdOfDomain(const FailureDomain& domain) { return domain.id.value; }
 
-void CheckKnown(const std::set<std::string>& known, const std::string& text,
-                const std::string& pointer, std::string_view what,
-                FleetValidationErrors* errors) {
+void CheckReference(const std::set<std::string>& known, const std::string& text,
+                    const std::string& pointer, std::string_view kind,
+                    FleetValidationErrors* errors) {
   if (!text.empty() && known.count(text) == 0) {
     errors->push_back(
-        {pointer,
-         absl::StrCat("names no ", absl::string_view(what.data(), what.size()),
-                      " of this document: ", text)});
+        {pointer, absl::StrCat("refers to no ",
+                               absl::string_view(kind.data(), kind.size()),
+                               " of this document: ", text)});
   }
 }
 
@@ -107,11 +107,12 @@
   for (std::size_t i = 0; i < document.upstreams.size(); ++i) {
     const Upstream& upstream = document.upstreams[i];
     const bool engine = upstream.kind == UpstreamKind::kEngine;
-    CheckKnown(engine ? models : services, upstream.serves,
-               At("upstreams", i, "serves"), engine ? "model" : "service",
-               errors);
-    CheckKnown(domains, upstream.failure_domain.value,
-               At("upstreams", i, "failure_domain"), "failure domain", errors);
+    CheckReference(engine ? models : services, upstream.serves,
+                   At("upstreams", i, "serves"), engine ? "model" : "service",
+                   errors);
+    CheckReference(domains, upstream.failure_domain.value,
+                   At("upstreams", i, "failure_domain"), "failure domain",
+                   errors);
   }
 }
 
@@ -119,8 +120,8 @@
   const auto models = Collect(document.models, NameOfModel);
   const auto routed = Collect(document.routes, ModelOfRoute);
   for (std::size_t i = 0; i < document.routes.size(); ++i) {
-    CheckKnown(models, document.routes[i].model, At("routes", i, "model"),
-               "model", errors);
+    CheckReference(models, document.routes[i].model, At("routes", i, "model"),
+                   "model", errors);
   }
   for (std::size_t i = 0; i < document.models.size(); ++i) {
     if (routed.count(document.models[i].name) == 0) {
@@ -129,22 +130,22 @@
   }
 }
 
-bool Covers(const ServiceRule& earlier, const ServiceRule& later) {
+bool Shadows(const ServiceRule& earlier, const ServiceRule& later) {
   const bool method = earlier.method == "*" || earlier.method == later.method;
-  return method && PrefixCovers(earlier.path_prefix, later.path_prefix);
+  return method && PrefixMatches(earlier.path_prefix, later.path_prefix);
 }
 
 void CheckRules(const std::vector<ServiceRule>& rules,
                 const std::string& pointer, FleetValidationErrors* errors) {
   for (std::size_t i = 1; i < rules.size(); ++i) {
     const auto end = rules.begin() + static_cast<std::ptrdiff_t>(i);
-    const auto hiding =
+    const auto shadowing =
         std::find_if(rules.begin(), end, [&](const ServiceRule& earlier) {
           return !earlier.method.empty() && !earlier.path_prefix.empty() &&
-                 Covers(earlier, rules[i]);
+                 Shadows(earlier, rules[i]);
         });
-    if (hiding != end) {
-      const auto index = static_cast<std::size_t>(hiding - rules.begin());
+    if (shadowing != end) {
+      const auto index = static_cast<std::size_t>(shadowing - rules.begin());
       errors->push_back(
           {ElementPointer(pointer, i),
            absl::StrCat("is never reached: ", ElementPointer(pointer, index),
--- a/src/fleet/detail/aggregates.h
+++ b/src/fleet/detail/aggregates.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One parse function for each aggregate of the fleet document, and the
+/// @brief A parse function for each aggregate of the fleet document, and the
 /// checks across aggregates.
 #pragma once
 
@@ -12,14 +12,14 @@
 
 namespace limpetlink {
 
-/// @brief Where errors are collected.
+/// @brief Validation errors in the order in which they were found.
 using FleetValidationErrors = std::vector<FleetValidationError>;
 
-/// Each function below reads one aggregate.
-/// @param value its JSON
-/// @param pointer its JSON pointer
-/// @param errors where every fault is added
-/// @return the aggregate; members at fault keep their defaults
+/// @brief Parses one failure domain.
+/// @param value JSON of the aggregate
+/// @param pointer JSON pointer of the aggregate
+/// @param errors receives every validation error
+/// @return the aggregate; invalid members keep their defaults
 FailureDomain ParseFailureDomain(const nlohmann::json& value,
                                  const std::string& pointer,
                                  FleetValidationErrors* errors);
@@ -51,15 +51,16 @@
                                  const std::string& pointer,
                                  FleetValidationErrors* errors);
 
-/// @brief Finds identifiers, addresses and key digests that stand twice.
+/// @brief Reports identifiers, addresses and key digests that occur more than
+/// once.
 /// @note Complexity: n log n in the number of aggregates.
 void CheckDuplicates(const FleetDocument& document,
                      FleetValidationErrors* errors);
 
-/// @brief Finds names that refer to nothing, models without a route and rules
-/// that an earlier rule hides.
-/// @note Complexity: n log n in the number of aggregates; rules of one service
-/// are compared with one another.
+/// @brief Reports unresolved references, models without a route and rules that
+/// an earlier rule shadows.
+/// @note Complexity: n log n in the number of aggregates; the rules of one
+/// service are compared pairwise.
 void CheckReferences(const FleetDocument& document,
                      FleetValidationErrors* errors);
 
--- a/src/fleet/detail/diff.h
+++ b/src/fleet/detail/diff.h
@@ -1,5 +1,6 @@
 /// @file
-/// @brief What differs between two fleet documents, for people and for hosts.
+/// @brief Differences between two fleet documents, as text for people and as
+/// patches for hosts.
 #pragma once
 
 #include <string>
@@ -11,12 +12,12 @@
 
 namespace limpetlink {
 
-/// @brief What happened to a part of the document.
+/// @brief Kind of a difference.
 enum class FleetDifferenceKind {
   kAdded,
   kRemoved,
   kChanged,
-  kReordered,  ///< a list has the same elements in another order
+  kReordered,  ///< the common elements of a list changed their order
 };
 
 template <>
@@ -31,19 +32,22 @@
 /// @brief One difference between two documents.
 struct FleetDifference {
   FleetDifferenceKind kind = FleetDifferenceKind::kChanged;
-  std::string subject;  ///< list and identifier, as "organisations/dairy"; or a
-                        ///< list or member of the document
-  std::string member;   ///< of the subject, as "weight"; empty for the whole
-  std::string before;   ///< JSON; empty for an addition
-  std::string after;    ///< JSON; empty for a removal
+  /// List and identifier, for example "organisations/dairy"; or the name of a
+  /// list or member of the document.
+  std::string subject;
+  /// Member of the subject, for example "weight"; empty if the whole subject
+  /// differs.
+  std::string member;
+  std::string before;  ///< JSON; empty for an addition
+  std::string after;   ///< JSON; empty for a removal
 };
 
-/// @brief Lists what differs. The change id and the author, which differ with
-/// every change, are left out.
+/// @brief Compares two documents. Ignores the change ID and the author, which
+/// differ with every change.
 /// @param before the older document
 /// @param after the newer document
-/// @return the differences, in the order of the document's members; empty when
-/// both decide the same
+/// @return the differences in the order of the document's members; empty if the
+/// documents are equivalent
 /// @note Complexity: n log n in the number of aggregates.
 /// @note Example:
 /// @code
@@ -55,25 +59,26 @@
 std::vector<FleetDifference> DiffFleet(const FleetDocument& before,
                                        const FleetDocument& after);
 
-/// @brief Renders a difference as one line without a line end.
+/// @brief Formats a difference as one line without a newline.
 /// @param change any difference
 std::string ToText(const FleetDifference& change);
 
-/// @brief Makes the JSON patch (RFC 6902) that turns one document into another.
+/// @brief Computes the JSON patch (RFC 6902) that converts one document into
+/// another.
 /// @param before the document that the receiver has
-/// @param after the document that it shall have
-/// @return a JSON array, "[]" for equal documents. Its size grows with the
-/// difference, save that a list whose common elements changed their order is
-/// sent whole.
+/// @param after the document that the patch produces
+/// @return a JSON array, "[]" for equal documents. Its size is proportional to
+/// the difference, except that a list whose common elements changed their order
+/// is replaced completely.
 /// @note Complexity: n log n in the number of aggregates.
 std::string MakeFleetPatch(const FleetDocument& before,
                            const FleetDocument& after);
 
-/// @brief Applies a JSON patch and validates the outcome as ParseFleet does.
-/// @param before the document that the patch was made against
-/// @param patch as made by MakeFleetPatch
-/// @return the patched document, or all errors; a patch that does not fit is
-/// one fault
+/// @brief Applies a JSON patch and validates the result with ParseFleet.
+/// @param before the document that the patch was computed from
+/// @param patch a patch from MakeFleetPatch
+/// @return the patched document, or all validation errors; a patch that cannot
+/// be applied gives one error
 FleetParseResult PatchFleet(const FleetDocument& before,
                             std::string_view patch);
 
--- a/src/fleet/detail/document.h
+++ b/src/fleet/detail/document.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The fleet document's types.
+/// @brief Types of the fleet document.
 #pragma once
 
 #include <cstdint>
@@ -10,30 +10,33 @@
 
 namespace limpetlink {
 
-/// @brief A failure domain and the region it stands in.
+/// @brief A failure domain and its region.
 struct FailureDomain {
   FailureDomainId id;
   std::string region;
 };
 
-/// @brief An organisation, its keys and its share.
+/// @brief An organisation with its API keys, share and limits.
 struct Organisation {
   OrganisationId id;
-  std::vector<std::string> key_digests;  ///< SHA-256 of each key, hexadecimal
-  double weight = 1.0;  ///< share of service relative to the others, above 0
-  std::uint32_t max_concurrent = 64;   ///< requests in progress over all hosts
-  double requests_per_second = 100.0;  ///< over all hosts
+  /// SHA-256 digest of each key, hexadecimal.
+  std::vector<std::string> key_digests;
+  /// Share of service relative to other organisations, above 0.
+  double weight = 1.0;
+  /// Requests in progress, total over all hosts.
+  std::uint32_t max_concurrent = 64;
+  double requests_per_second = 100.0;  ///< total over all hosts
 };
 
 /// @brief A model that engines serve.
 struct Model {
   std::string name;
-  std::string version;                ///< wanted on every engine of the model
-  std::vector<std::string> adapters;  ///< wanted on every engine of the model
+  std::string version;                ///< required on every engine of the model
+  std::vector<std::string> adapters;  ///< required on every engine of the model
   std::uint32_t max_output_tokens = 32768;
 };
 
-/// @brief What a worker is.
+/// @brief Kind of a worker.
 enum class UpstreamKind { kEngine, kService };
 
 template <>
@@ -49,10 +52,11 @@
   std::string serves;  ///< name of the model or the service
   std::string url;     ///< "http://ip:port"
   FailureDomainId failure_domain;
-  bool checks_fencing = true;  ///< refuses an order with an old fencing number
+  /// Whether the worker rejects commands with an outdated fencing number.
+  bool checks_fencing = true;
 };
 
-/// @brief How a request is queued: short verdicts keep reserved headroom.
+/// @brief Queueing class of a request. Short verdicts have reserved headroom.
 enum class RequestClass { kVerdict, kDraft };
 
 template <>
@@ -61,10 +65,10 @@
       {RequestClass::kVerdict, "verdict"}, {RequestClass::kDraft, "draft"}};
 };
 
-/// @brief What a caller gets when the engine of a begun stream is lost.
+/// @brief What a caller receives if the engine of a started stream is lost.
 enum class OnLoss {
-  kRestart,  ///< a restart event, then a new generation from offset 0
-  kEnd,      ///< an honest end that keeps what arrived
+  kRestart,  ///< a restart event followed by a new generation from offset 0
+  kEnd,      ///< an explicit end that keeps the output received so far
 };
 
 template <>
@@ -73,9 +77,8 @@
                                                {OnLoss::kEnd, "end"}};
 };
 
-/// @brief How requests for a model are served; chosen by the caller's X-Route
-/// header, else by the
-///        first route of the model.
+/// @brief How requests for a model are served. Selected by the caller's X-Route
+/// header, otherwise the first route of the model.
 struct Route {
   std::string name;
   std::string model;
@@ -85,12 +88,12 @@
   Duration max_deadline{std::chrono::seconds(3600)};
 };
 
-/// @brief One rule of a service: which requests it covers and whether they may
-/// be repeated. The
-///        first rule that matches decides; no rule means not idempotent.
+/// @brief One rule of a service: the requests that it matches and whether they
+/// may be repeated. The first matching rule applies; requests without one are
+/// not idempotent.
 struct ServiceRule {
   std::string method;       ///< "GET", "POST", ... or "*"
-  std::string path_prefix;  ///< matched against the path below the service
+  std::string path_prefix;  ///< matched with the path below the service
   bool idempotent = false;
 };
 
@@ -102,18 +105,20 @@
   Duration max_deadline{std::chrono::seconds(300)};
 };
 
-/// @brief What the operator wants spared most; each in [0, 1].
+/// @brief Relative importance of avoiding stalls, preemptions and tail latency;
+/// each in [0, 1].
 struct Weights {
   double stall = 0.5;
   double preemption = 0.5;
   double tail = 0.5;
 };
 
-/// @brief Everything that operators decide. The object's version at the
-/// platform is kept beside it.
+/// @brief All operator-controlled configuration. The version of the stored
+/// object is kept separately.
 struct FleetDocument {
   std::string name;
-  std::string change_id;  ///< unique for each change; resolves a lost answer
+  /// Unique for each change; identifies a change whose response was lost.
+  std::string change_id;
   std::string author;
   std::vector<FailureDomain> failure_domains;
   std::vector<Organisation> organisations;
--- a/src/fleet/detail/keyed_list.h
+++ b/src/fleet/detail/keyed_list.h
@@ -12,21 +12,22 @@
 
 /// @brief How the elements of two lists correspond.
 struct ListMatch {
-  std::vector<std::size_t> removed;  ///< indexes in the older list, ascending
-  /// For each element of the newer list, its index in the older list.
+  std::vector<std::size_t> removed;  ///< indices in the older list, ascending
+  /// Index in the older list of each element of the newer one; empty for a new
+  /// element.
   std::vector<std::optional<std::size_t>> origins;
   bool same_order = true;  ///< whether common elements kept their order
 };
 
-/// @brief Gives the identifier of a list's element.
-/// @param element an object
-/// @return its "id" or "name"; for others the element's JSON text
+/// @brief Returns the identifier of a list element.
+/// @param element any JSON value
+/// @return its "id" or "name"; the element's JSON text if it has neither
 std::string ElementKey(const nlohmann::ordered_json& element);
 
-/// @brief Matches two lists.
-/// @param before the older list, identifiers unique
-/// @param after the newer list, identifiers unique
-/// @note Complexity: n log n.
+/// @brief Matches the elements of two lists by their identifiers.
+/// @param before the older list; identifiers must be unique
+/// @param after the newer list; identifiers must be unique
+/// @note Complexity: n log n in the number of elements.
 ListMatch MatchLists(const nlohmann::ordered_json& before,
                      const nlohmann::ordered_json& after);
 
--- a/src/fleet/detail/parse.h
+++ b/src/fleet/detail/parse.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Reading and writing the fleet document.
+/// @brief Parsing and writing of fleet documents.
 #pragma once
 
 #include <cstddef>
@@ -12,22 +12,22 @@
 
 namespace limpetlink {
 
-/// @brief Greatest size of a document's text in bytes: what the platform's
-/// object API holds in one value.
+/// @brief Maximum size of a document's text in bytes. This is the value limit
+/// of the platform's object API.
 inline constexpr std::size_t kMaxFleetBytes = 1000000;
 
-/// @brief One fault of a document.
+/// @brief One validation error of a document.
 struct FleetValidationError {
-  std::string
-      pointer;  ///< JSON pointer to the value at fault, as "/routes/0/model"
-  std::string message;  ///< what is wrong, for a person
+  /// JSON pointer to the invalid value, for example "/routes/0/model".
+  std::string pointer;
+  std::string message;  ///< human-readable description
 };
 
-/// @brief A parsed document, or every fault found.
+/// @brief A parsed document, or all its validation errors.
 struct FleetParseResult {
-  FleetDocument document;  ///< meaningful only without errors
-  std::vector<FleetValidationError>
-      errors;  ///< empty when the document is valid
+  FleetDocument document;  ///< valid only if there are no errors
+  /// Empty if the document is valid.
+  std::vector<FleetValidationError> errors;
 
   /// @return whether the document is valid
   bool Ok() const { return this->errors.empty(); }
@@ -35,26 +35,27 @@
 
 /// @brief Parses and validates a fleet document.
 /// @param text JSON
-/// @return the document, or all errors at once (fleet.101 for unreadable JSON,
-/// fleet.102 for the
-///         rest)
-/// @note Complexity: linear in the text's size, but for references (n log n).
+/// @return the document, or all validation errors at once, including JSON
+/// syntax errors
+/// @note Complexity: linear in the text's size, except for references (n log
+/// n).
 FleetParseResult ParseFleet(std::string_view text);
 
-/// @brief How a document is laid out as text.
+/// @brief Layout of a document's text.
 enum class FleetLayout {
-  kCompact,   ///< one line, for the platform
-  kIndented,  ///< one member a line, for version control
+  kCompact,   ///< a single line, for the platform
+  kIndented,  ///< one member per line, for version control
 };
 
-/// @brief Says whether a document is valid, for callers that need no list.
-/// @return ok, or fleet.102 with the first fault
+/// @brief Converts a parse result to a status, for callers that need no list of
+/// errors.
+/// @return OK, or fleet.102 with the first error
 absl::Status StatusOf(const FleetParseResult& parsed);
 
-/// @brief Writes a document as JSON with a fixed order of members.
+/// @brief Serializes a document as JSON with a fixed order of members.
 /// @param document a valid document
-/// @param layout one line, or one member a line
-/// @return JSON text that ParseFleet reads back to an equal document
+/// @param layout a single line, or one member per line
+/// @return JSON text that ParseFleet parses to an equal document
 std::string WriteFleet(const FleetDocument& document,
                        FleetLayout layout = FleetLayout::kCompact);
 
--- a/src/fleet/detail/reader.h
+++ b/src/fleet/detail/reader.h
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Reads typed members from JSON objects and collects every fault.
+/// @brief Reads typed members of JSON objects and collects all validation
+/// errors.
 #pragma once
 
 #include <cstddef>
@@ -19,68 +20,69 @@
 /// @brief Whether a member may be absent.
 enum class Presence { kRequired, kOptional };
 
-/// @brief Range of a number, ends included.
+/// @brief Inclusive range of a number.
 struct NumberRange {
-  double least = 0;
-  double most = 0;
+  double min = 0;
+  double max = 0;
 };
 
-/// @brief Joins a JSON pointer and a member's name, escaped.
-/// @param pointer of the object
-/// @param name of the member
-/// @return pointer of the member
+/// @brief Appends an escaped member name to a JSON pointer.
+/// @param pointer JSON pointer of the object
+/// @param name name of the member
+/// @return JSON pointer of the member
 std::string MemberPointer(std::string_view pointer, std::string_view name);
 
-/// @brief Joins a JSON pointer and an element's index.
-/// @param pointer of the array
-/// @param index of the element
-/// @return pointer of the element
+/// @brief Appends an element index to a JSON pointer.
+/// @param pointer JSON pointer of the array
+/// @param index index of the element
+/// @return JSON pointer of the element
 std::string ElementPointer(std::string_view pointer, std::size_t index);
 
-/// @brief Reads one object's members, each at most once. A member that is
-/// absent or at fault leaves the target as it is.
+/// @brief Reads the members of one object, each at most once. A member that is
+/// absent or invalid leaves its target unchanged.
 /// @note Example:
 /// @code
 /// ObjectReader reader(value, "/weights", &errors);
 /// reader.Number("stall", {0, 1}, Presence::kRequired, &weights.stall);
-/// reader.Finish();  // names the members that nothing asked for
+/// reader.Finish();  // reports unknown members
 /// @endcode
 class ObjectReader {
  public:
-  /// @param value what should be an object; outlives the reader
-  /// @param pointer its JSON pointer
-  /// @param errors where errors are added; outlives the reader
+  /// @param value the object to read; must outlive the reader
+  /// @param pointer JSON pointer of the object
+  /// @param errors receives validation errors; must outlive the reader
   ObjectReader(const nlohmann::json& value, std::string pointer,
                std::vector<FleetValidationError>* errors);
 
-  /// @brief Reads a text of a given shape.
-  void Text(std::string_view name, const TextShape& shape, Presence presence,
-            std::string* target);
+  /// @brief Reads a string of a given format.
+  void String(std::string_view name, const StringFormat& format,
+              Presence presence, std::string* target);
 
-  /// @brief Reads a list of texts of a given shape.
-  /// @param range how many there may be
-  void Texts(std::string_view name, const TextShape& shape, CountRange range,
-             Presence presence, std::vector<std::string>* target);
+  /// @brief Reads a list of strings of a given format.
+  /// @param range allowed number of elements
+  void Strings(std::string_view name, const StringFormat& format,
+               CountRange range, Presence presence,
+               std::vector<std::string>* target);
 
   /// @brief Reads a number.
   void Number(std::string_view name, NumberRange range, Presence presence,
               double* target);
 
-  /// @brief Reads a whole number.
+  /// @brief Reads an integer.
   void Count(std::string_view name, NumberRange range, Presence presence,
              std::uint32_t* target);
 
-  /// @brief Reads a number of seconds as a duration.
+  /// @brief Reads a duration given in seconds, rounded to microseconds.
   void Seconds(std::string_view name, NumberRange range, Presence presence,
                Duration* target);
 
-  /// @brief Reads true or false.
+  /// @brief Reads a Boolean.
   void Flag(std::string_view name, Presence presence, bool* target);
 
-  /// @brief Reads the name of an enum's value.
+  /// @brief Reads an enumerator by its name in EnumTable.
   template <typename Enum>
   void Choice(std::string_view name, Presence presence, Enum* target) {
-    const nlohmann::json* value = this->Take(name, presence);
+    const nlohmann::json* value = this->FindMember(name, presence);
     if (value == nullptr) {
       return;
     }
@@ -95,17 +97,17 @@
       names += names.empty() ? "" : ", ";
       names += row.name;
     }
-    this->Fault(name, "must be one of: " + names);
+    this->AddError(name, "must be one of: " + names);
   }
 
   /// @brief Reads a list of aggregates.
-  /// @param range how many there may be
-  /// @param parse called as parse(element, pointer, errors), returns the
+  /// @param range allowed number of elements
+  /// @param parse called as parse(element, pointer, errors); returns the
   /// aggregate
   template <typename T, typename Parse>
   void List(std::string_view name, CountRange range, Presence presence,
             Parse parse, std::vector<T>* target) {
-    const nlohmann::json* value = this->TakeList(name, range, presence);
+    const nlohmann::json* value = this->FindList(name, range, presence);
     if (value == nullptr) {
       return;
     }
@@ -121,27 +123,27 @@
   template <typename T, typename Parse>
   void Member(std::string_view name, Presence presence, Parse parse,
               T* target) {
-    const nlohmann::json* value = this->Take(name, presence);
+    const nlohmann::json* value = this->FindMember(name, presence);
     if (value != nullptr) {
       *target = parse(*value, MemberPointer(this->pointer, name), this->errors);
     }
   }
 
-  /// @brief Adds a fault of one member.
-  void Fault(std::string_view name, std::string message);
+  /// @brief Adds a validation error for one member.
+  void AddError(std::string_view name, std::string message);
 
-  /// @brief Adds a fault for each member that was never asked for.
+  /// @brief Adds a validation error for each member that was never read.
   void Finish();
 
  private:
-  const nlohmann::json* Take(std::string_view name, Presence presence);
-  const nlohmann::json* TakeList(std::string_view name, CountRange range,
+  const nlohmann::json* FindMember(std::string_view name, Presence presence);
+  const nlohmann::json* FindList(std::string_view name, CountRange range,
                                  Presence presence);
 
   const nlohmann::json& value;
   std::string pointer;
   std::vector<FleetValidationError>* errors;
-  std::set<std::string, std::less<>> asked;
+  std::set<std::string, std::less<>> read_members;
 };
 
 }  // namespace limpetlink
--- a/src/fleet/detail/write.h
+++ b/src/fleet/detail/write.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The JSON form of a fleet document, for the slice's own use.
+/// @brief JSON representation of a fleet document. Internal to this library.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,9 +8,10 @@
 
 namespace limpetlink {
 
-/// @brief Builds the JSON form with a fixed order of members.
+/// @brief Converts a document to JSON with a fixed order of members.
 /// @param document any document
-/// @return an object with every member, defaults included
+/// @return an object with all members, including defaults; an empty change ID
+/// or author is left out
 nlohmann::ordered_json ToJson(const FleetDocument& document);
 
 }  // namespace limpetlink
--- a/src/fleet/diff.cc
+++ b/src/fleet/diff.cc
@@ -8,11 +8,11 @@
 
 using Json = nlohmann::ordered_json;
 
-bool IsChangeLabel(const std::string& member) {
+bool IsChangeMetadata(const std::string& member) {
   return member == "change_id" || member == "author";
 }
 
-/// Compares the members of one aggregate. Both sides have the same members.
+/// Compares the members of one aggregate. Both objects have the same members.
 void DiffMembers(const std::string& subject, const Json& before,
                  const Json& after, std::vector<FleetDifference>* changes) {
   for (const auto& member : after.items()) {
@@ -54,7 +54,7 @@
   const Json new_json = ToJson(after);
   std::vector<FleetDifference> changes;
   for (const auto& member : new_json.items()) {
-    if (IsChangeLabel(member.key())) {
+    if (IsChangeMetadata(member.key())) {
       continue;
     }
     const Json& old_value = old_json.at(member.key());
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief The fleet document: everything operators decide, as one validated
-/// value.
+/// @brief The fleet document: all operator-controlled configuration as one
+/// validated value.
 #pragma once
 
 #include "fleet/detail/diff.h"
--- a/src/fleet/keyed_list.cc
+++ b/src/fleet/keyed_list.cc
@@ -16,16 +16,16 @@
 
 ListMatch MatchLists(const nlohmann::ordered_json& before,
                      const nlohmann::ordered_json& after) {
-  std::map<std::string, std::size_t> places;
+  std::map<std::string, std::size_t> positions;
   for (std::size_t i = 0; i < before.size(); ++i) {
-    places.emplace(ElementKey(before[i]), i);
+    positions.emplace(ElementKey(before[i]), i);
   }
   ListMatch match;
   std::set<std::size_t> kept;
   std::optional<std::size_t> last;
   for (const auto& element : after) {
-    const auto found = places.find(ElementKey(element));
-    if (found == places.end()) {
+    const auto found = positions.find(ElementKey(element));
+    if (found == positions.end()) {
       match.origins.emplace_back();
       continue;
     }
--- a/src/fleet/parse.cc
+++ b/src/fleet/parse.cc
@@ -9,8 +9,8 @@
 namespace limpetlink {
 namespace {
 
-/// Reports members that stand twice in one object, which the JSON reader would
-/// silently merge.
+/// Reports duplicate members of an object, which the JSON parser would merge
+/// silently.
 class DuplicateMembers {
  public:
   explicit DuplicateMembers(FleetValidationErrors* errors) : errors(errors) {}
@@ -27,7 +27,7 @@
       if (!this->names.back().insert(name).second) {
         this->errors->push_back(
             {"",
-             absl::StrCat("member \"", name, "\" stands twice in an object")});
+             absl::StrCat("member \"", name, "\" occurs twice in an object")});
       }
     }
     return true;
@@ -48,8 +48,7 @@
   try {
     return nlohmann::json::parse(text, callback);
   } catch (const nlohmann::json::exception& error) {
-    errors->push_back(
-        {"", absl::StrCat("is not readable JSON: ", error.what())});
+    errors->push_back({"", absl::StrCat("is not valid JSON: ", error.what())});
     return nlohmann::json(nlohmann::json::value_t::discarded);
   }
 }
--- a/src/fleet/parse_aggregates.cc
+++ b/src/fleet/parse_aggregates.cc
@@ -21,14 +21,15 @@
 constexpr NumberRange kDeadlineSeconds{0.001, 86400};
 constexpr NumberRange kFraction{0, 1};
 
-/// Reads the two deadlines that routes and services have.
-void ReadDeadlines(ObjectReader* reader, Duration* standard, Duration* most) {
+/// Reads the two deadlines of a route or service.
+void ReadDeadlines(ObjectReader* reader, Duration* default_deadline,
+                   Duration* max_deadline) {
   reader->Seconds("default_deadline_s", kDeadlineSeconds, Presence::kOptional,
-                  standard);
+                  default_deadline);
   reader->Seconds("max_deadline_s", kDeadlineSeconds, Presence::kOptional,
-                  most);
-  if (*standard > *most) {
-    reader->Fault("default_deadline_s", "must not exceed max_deadline_s");
+                  max_deadline);
+  if (*default_deadline > *max_deadline) {
+    reader->AddError("default_deadline_s", "must not exceed max_deadline_s");
   }
 }
 
@@ -39,8 +40,8 @@
                                  FleetValidationErrors* errors) {
   FailureDomain domain;
   ObjectReader reader(value, pointer, errors);
-  reader.Text("id", kNameShape, Presence::kRequired, &domain.id.value);
-  reader.Text("region", kNameShape, Presence::kRequired, &domain.region);
+  reader.String("id", kNameFormat, Presence::kRequired, &domain.id.value);
+  reader.String("region", kNameFormat, Presence::kRequired, &domain.region);
   reader.Finish();
   return domain;
 }
@@ -50,9 +51,9 @@
                                FleetValidationErrors* errors) {
   Organisation organisation;
   ObjectReader reader(value, pointer, errors);
-  reader.Text("id", kNameShape, Presence::kRequired, &organisation.id.value);
-  reader.Texts("key_digests", kDigestShape, kKeyDigests, Presence::kRequired,
-               &organisation.key_digests);
+  reader.String("id", kNameFormat, Presence::kRequired, &organisation.id.value);
+  reader.Strings("key_digests", kDigestFormat, kKeyDigests, Presence::kRequired,
+                 &organisation.key_digests);
   reader.Number("weight", kShareWeight, Presence::kOptional,
                 &organisation.weight);
   reader.Count("max_concurrent", kConcurrent, Presence::kOptional,
@@ -67,10 +68,10 @@
                  FleetValidationErrors* errors) {
   Model model;
   ObjectReader reader(value, pointer, errors);
-  reader.Text("name", kNameShape, Presence::kRequired, &model.name);
-  reader.Text("version", kVersionShape, Presence::kRequired, &model.version);
-  reader.Texts("adapters", kVersionShape, kAdapters, Presence::kOptional,
-               &model.adapters);
+  reader.String("name", kNameFormat, Presence::kRequired, &model.name);
+  reader.String("version", kVersionFormat, Presence::kRequired, &model.version);
+  reader.Strings("adapters", kVersionFormat, kAdapters, Presence::kOptional,
+                 &model.adapters);
   reader.Count("max_output_tokens", kOutputTokens, Presence::kOptional,
                &model.max_output_tokens);
   reader.Finish();
@@ -82,9 +83,9 @@
                              FleetValidationErrors* errors) {
   ServiceRule rule;
   ObjectReader reader(value, pointer, errors);
-  reader.Text("method", kMethodShape, Presence::kRequired, &rule.method);
-  reader.Text("path_prefix", kPathPrefixShape, Presence::kRequired,
-              &rule.path_prefix);
+  reader.String("method", kMethodFormat, Presence::kRequired, &rule.method);
+  reader.String("path_prefix", kPathPrefixFormat, Presence::kRequired,
+                &rule.path_prefix);
   reader.Flag("idempotent", Presence::kRequired, &rule.idempotent);
   reader.Finish();
   return rule;
@@ -94,7 +95,7 @@
                      FleetValidationErrors* errors) {
   Service service;
   ObjectReader reader(value, pointer, errors);
-  reader.Text("name", kNameShape, Presence::kRequired, &service.name);
+  reader.String("name", kNameFormat, Presence::kRequired, &service.name);
   reader.List("rules", kRules, Presence::kOptional, ParseServiceRule,
               &service.rules);
   ReadDeadlines(&reader, &service.default_deadline, &service.max_deadline);
@@ -106,12 +107,12 @@
                        FleetValidationErrors* errors) {
   Upstream upstream;
   ObjectReader reader(value, pointer, errors);
-  reader.Text("id", kNameShape, Presence::kRequired, &upstream.id.value);
+  reader.String("id", kNameFormat, Presence::kRequired, &upstream.id.value);
   reader.Choice("kind", Presence::kRequired, &upstream.kind);
-  reader.Text("serves", kNameShape, Presence::kRequired, &upstream.serves);
-  reader.Text("url", kUrlShape, Presence::kRequired, &upstream.url);
-  reader.Text("failure_domain", kNameShape, Presence::kRequired,
-              &upstream.failure_domain.value);
+  reader.String("serves", kNameFormat, Presence::kRequired, &upstream.serves);
+  reader.String("url", kUrlFormat, Presence::kRequired, &upstream.url);
+  reader.String("failure_domain", kNameFormat, Presence::kRequired,
+                &upstream.failure_domain.value);
   reader.Flag("checks_fencing", Presence::kOptional, &upstream.checks_fencing);
   reader.Finish();
   return upstream;
@@ -121,8 +122,8 @@
                  FleetValidationErrors* errors) {
   Route route;
   ObjectReader reader(value, pointer, errors);
-  reader.Text("name", kNameShape, Presence::kRequired, &route.name);
-  reader.Text("model", kNameShape, Presence::kRequired, &route.model);
+  reader.String("name", kNameFormat, Presence::kRequired, &route.name);
+  reader.String("model", kNameFormat, Presence::kRequired, &route.model);
   reader.Choice("request_class", Presence::kOptional, &route.request_class);
   reader.Choice("on_loss", Presence::kOptional, &route.on_loss);
   ReadDeadlines(&reader, &route.default_deadline, &route.max_deadline);
@@ -147,10 +148,11 @@
                                  FleetValidationErrors* errors) {
   FleetDocument document;
   ObjectReader reader(value, pointer, errors);
-  reader.Text("name", kNameShape, Presence::kRequired, &document.name);
-  reader.Text("change_id", kVersionShape, Presence::kOptional,
-              &document.change_id);
-  reader.Text("author", kLineShape, Presence::kOptional, &document.author);
+  reader.String("name", kNameFormat, Presence::kRequired, &document.name);
+  reader.String("change_id", kVersionFormat, Presence::kOptional,
+                &document.change_id);
+  reader.String("author", kSingleLineFormat, Presence::kOptional,
+                &document.author);
   reader.List("failure_domains", kFailureDomains, Presence::kRequired,
               ParseFailureDomain, &document.failure_domains);
   reader.List("organisations", kOrganisations, Presence::kRequired,
--- a/src/fleet/patch.cc
+++ b/src/fleet/patch.cc
@@ -9,8 +9,8 @@
 
 using Json = nlohmann::ordered_json;
 
-void Operation(std::string_view kind, std::string path, const Json* value,
-               Json* patch) {
+void AddOperation(std::string_view kind, std::string path, const Json* value,
+                  Json* patch) {
   Json operation = {{"op", kind}, {"path", std::move(path)}};
   if (value != nullptr) {
     operation["value"] = *value;
@@ -18,19 +18,21 @@
   patch->push_back(std::move(operation));
 }
 
-/// Turns one object into another, member by member.
+/// Adds the operations that convert one object into another, by member.
 void PatchMembers(const std::string& pointer, const Json& before,
                   const Json& after, Json* patch) {
   for (const auto& member : before.items()) {
     if (!after.contains(member.key())) {
-      Operation("remove", MemberPointer(pointer, member.key()), nullptr, patch);
+      AddOperation("remove", MemberPointer(pointer, member.key()), nullptr,
+                   patch);
     }
   }
   for (const auto& member : after.items()) {
     const bool present = before.contains(member.key());
     if (!present || before.at(member.key()) != member.value()) {
-      Operation(present ? "replace" : "add",
-                MemberPointer(pointer, member.key()), &member.value(), patch);
+      AddOperation(present ? "replace" : "add",
+                   MemberPointer(pointer, member.key()), &member.value(),
+                   patch);
     }
   }
 }
@@ -39,23 +41,23 @@
                const Json& after, Json* patch) {
   const ListMatch match = MatchLists(before, after);
   if (!match.same_order) {
-    Operation("replace", pointer, &after, patch);
+    AddOperation("replace", pointer, &after, patch);
     return;
   }
   for (auto it = match.removed.rbegin(); it != match.removed.rend(); ++it) {
-    Operation("remove", ElementPointer(pointer, *it), nullptr, patch);
+    AddOperation("remove", ElementPointer(pointer, *it), nullptr, patch);
   }
   for (std::size_t i = 0; i < after.size(); ++i) {
     const std::string element = ElementPointer(pointer, i);
     if (match.origins[i]) {
       PatchMembers(element, before[*match.origins[i]], after[i], patch);
     } else {
-      Operation("add", element, &after[i], patch);
+      AddOperation("add", element, &after[i], patch);
     }
   }
 }
 
-/// Takes the lists of objects out of a document, which are patched by element.
+/// Returns a document without its lists, which are patched by element.
 Json WithoutLists(Json document) {
   Json rest = Json::object();
   for (const auto& member : document.items()) {
@@ -91,7 +93,7 @@
     return ParseFleet(ToJson(before).patch(operations).dump());
   } catch (const Json::exception& error) {
     result.errors.push_back(
-        {"", absl::StrCat("the patch does not fit: ", error.what())});
+        {"", absl::StrCat("the patch cannot be applied: ", error.what())});
   }
   return result;
 }
--- a/src/fleet/reader.cc
+++ b/src/fleet/reader.cc
@@ -13,11 +13,11 @@
 }
 
 std::string RangeText(NumberRange range) {
-  return absl::StrCat("from ", range.least, " to ", range.most);
+  return absl::StrCat("from ", range.min, " to ", range.max);
 }
 
 bool Within(double number, NumberRange range) {
-  return number >= range.least && number <= range.most;
+  return number >= range.min && number <= range.max;
 }
 
 }  // namespace
@@ -49,30 +49,30 @@
   }
 }
 
-void ObjectReader::Text(std::string_view name, const TextShape& shape,
-                        Presence presence, std::string* target) {
-  const nlohmann::json* member = this->Take(name, presence);
+void ObjectReader::String(std::string_view name, const StringFormat& format,
+                          Presence presence, std::string* target) {
+  const nlohmann::json* member = this->FindMember(name, presence);
   if (member == nullptr) {
     return;
   }
   const auto* text = member->get_ptr<const std::string*>();
-  if (text == nullptr || !shape.fits(*text)) {
-    this->Fault(name, absl::StrCat("must be ", View(shape.rule)));
+  if (text == nullptr || !format.matches(*text)) {
+    this->AddError(name, absl::StrCat("must be ", View(format.rule)));
     return;
   }
   *target = *text;
 }
 
-void ObjectReader::Texts(std::string_view name, const TextShape& shape,
-                         CountRange range, Presence presence,
-                         std::vector<std::string>* target) {
-  const auto parse = [&shape](const nlohmann::json& element,
-                              std::string element_pointer,
-                              std::vector<FleetValidationError>* found) {
+void ObjectReader::Strings(std::string_view name, const StringFormat& format,
+                           CountRange range, Presence presence,
+                           std::vector<std::string>* target) {
+  const auto parse = [&format](const nlohmann::json& element,
+                               std::string element_pointer,
+                               std::vector<FleetValidationError>* errors) {
     const auto* text = element.get_ptr<const std::string*>();
-    if (text == nullptr || !shape.fits(*text)) {
-      found->push_back({std::move(element_pointer),
-                        absl::StrCat("must be ", View(shape.rule))});
+    if (text == nullptr || !format.matches(*text)) {
+      errors->push_back({std::move(element_pointer),
+                         absl::StrCat("must be ", View(format.rule))});
     }
     return text != nullptr ? *text : std::string();
   };
@@ -81,12 +81,12 @@
 
 void ObjectReader::Number(std::string_view name, NumberRange range,
                           Presence presence, double* target) {
-  const nlohmann::json* member = this->Take(name, presence);
+  const nlohmann::json* member = this->FindMember(name, presence);
   if (member == nullptr) {
     return;
   }
   if (!member->is_number() || !Within(member->get<double>(), range)) {
-    this->Fault(name, "must be a number " + RangeText(range));
+    this->AddError(name, "must be a number " + RangeText(range));
     return;
   }
   *target = member->get<double>();
@@ -94,13 +94,13 @@
 
 void ObjectReader::Count(std::string_view name, NumberRange range,
                          Presence presence, std::uint32_t* target) {
-  const nlohmann::json* member = this->Take(name, presence);
+  const nlohmann::json* member = this->FindMember(name, presence);
   if (member == nullptr) {
     return;
   }
   const bool whole = member->is_number_integer();
   if (!whole || !Within(member->get<double>(), range)) {
-    this->Fault(name, "must be a whole number " + RangeText(range));
+    this->AddError(name, "must be an integer " + RangeText(range));
     return;
   }
   *target = member->get<std::uint32_t>();
@@ -115,18 +115,18 @@
 
 void ObjectReader::Flag(std::string_view name, Presence presence,
                         bool* target) {
-  const nlohmann::json* member = this->Take(name, presence);
+  const nlohmann::json* member = this->FindMember(name, presence);
   if (member == nullptr) {
     return;
   }
   if (!member->is_boolean()) {
-    this->Fault(name, "must be true or false");
+    this->AddError(name, "must be true or false");
     return;
   }
   *target = member->get<bool>();
 }
 
-void ObjectReader::Fault(std::string_view name, std::string message) {
+void ObjectReader::AddError(std::string_view name, std::string message) {
   this->errors->push_back(
       {MemberPointer(this->pointer, name), std::move(message)});
 }
@@ -136,42 +136,42 @@
     return;
   }
   for (const auto& member : this->value.items()) {
-    if (this->asked.count(member.key()) == 0) {
-      this->Fault(member.key(), "is not a known member");
+    if (this->read_members.count(member.key()) == 0) {
+      this->AddError(member.key(), "is not a known member");
     }
   }
 }
 
-const nlohmann::json* ObjectReader::Take(std::string_view name,
-                                         Presence presence) {
+const nlohmann::json* ObjectReader::FindMember(std::string_view name,
+                                               Presence presence) {
   if (!this->value.is_object()) {
     return nullptr;
   }
-  this->asked.emplace(name);
+  this->read_members.emplace(name);
   const auto found = this->value.find(std::string(name));
   if (found != this->value.end()) {
     return &*found;
   }
   if (presence == Presence::kRequired) {
-    this->Fault(name, "is missing");
+    this->AddError(name, "is missing");
   }
   return nullptr;
 }
 
-const nlohmann::json* ObjectReader::TakeList(std::string_view name,
+const nlohmann::json* ObjectReader::FindList(std::string_view name,
                                              CountRange range,
                                              Presence presence) {
-  const nlohmann::json* member = this->Take(name, presence);
+  const nlohmann::json* member = this->FindMember(name, presence);
   if (member == nullptr) {
     return nullptr;
   }
   if (!member->is_array()) {
-    this->Fault(name, "must be a list");
+    this->AddError(name, "must be a list");
     return nullptr;
   }
-  if (member->size() < range.least || member->size() > range.most) {
-    this->Fault(name, absl::StrCat("must have ", range.least, " to ",
-                                   range.most, " elements"));
+  if (member->size() < range.min || member->size() > range.max) {
+    this->AddError(name, absl::StrCat("must have ", range.min, " to ",
+                                      range.max, " elements"));
     return nullptr;
   }
   return member;
--- a/src/fleet/rules.cc
+++ b/src/fleet/rules.cc
@@ -2,7 +2,7 @@
 
 namespace limpetlink {
 
-bool PrefixCovers(std::string_view prefix, std::string_view path) {
+bool PrefixMatches(std::string_view prefix, std::string_view path) {
   if (path.substr(0, prefix.size()) != prefix) {
     return false;
   }
@@ -15,7 +15,7 @@
                             std::string_view path) {
   for (const ServiceRule& rule : service.rules) {
     const bool method_fits = rule.method == "*" || rule.method == method;
-    if (method_fits && PrefixCovers(rule.path_prefix, path)) {
+    if (method_fits && PrefixMatches(rule.path_prefix, path)) {
       return &rule;
     }
   }
--- a/src/fleet/shapes.cc
+++ b/src/fleet/shapes.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t kMaxNameBytes = 64;
-constexpr std::size_t kMaxLineBytes = 128;
+constexpr std::size_t kMaxSingleLineBytes = 128;
 constexpr std::size_t kMaxPathBytes = 256;
 constexpr std::size_t kMaxMethodBytes = 16;
 constexpr std::size_t kDigestDigits = 64;
@@ -49,22 +49,22 @@
 }  // namespace
 
 bool IsName(std::string_view text) {
-  const bool sized = !text.empty() && text.size() <= kMaxNameBytes;
-  return sized && IsLetterOrDigit(text.front()) && AllOf(text, [](char c) {
+  const bool valid_size = !text.empty() && text.size() <= kMaxNameBytes;
+  return valid_size && IsLetterOrDigit(text.front()) && AllOf(text, [](char c) {
            return IsLetterOrDigit(c) || c == '.' || c == '_' || c == '-';
          });
 }
 
 bool IsVersion(std::string_view text) {
-  const bool sized = !text.empty() && text.size() <= kMaxLineBytes;
-  return sized && AllOf(text, [](char c) {
+  const bool valid_size = !text.empty() && text.size() <= kMaxSingleLineBytes;
+  return valid_size && AllOf(text, [](char c) {
            return IsVisible(c) && c != '"' && c != '\\';
          });
 }
 
-bool IsLine(std::string_view text) {
-  const bool sized = !text.empty() && text.size() <= kMaxLineBytes;
-  return sized && AllOf(text, [](char c) {
+bool IsSingleLine(std::string_view text) {
+  const bool valid_size = !text.empty() && text.size() <= kMaxSingleLineBytes;
+  return valid_size && AllOf(text, [](char c) {
            return static_cast<unsigned char>(c) >= ' ' && c != '\x7f';
          });
 }
@@ -88,14 +88,15 @@
 }
 
 bool IsMethod(std::string_view text) {
-  const bool sized = !text.empty() && text.size() <= kMaxMethodBytes;
-  return text == "*" ||
-         (sized && AllOf(text, [](char c) { return c >= 'A' && c <= 'Z'; }));
+  const bool valid_size = !text.empty() && text.size() <= kMaxMethodBytes;
+  return text == "*" || (valid_size && AllOf(text, [](char c) {
+                           return c >= 'A' && c <= 'Z';
+                         }));
 }
 
 bool IsPathPrefix(std::string_view text) {
-  const bool sized = !text.empty() && text.size() <= kMaxPathBytes;
-  return sized && text.front() == '/' && AllOf(text, [](char c) {
+  const bool valid_size = !text.empty() && text.size() <= kMaxPathBytes;
+  return valid_size && text.front() == '/' && AllOf(text, [](char c) {
            return IsVisible(c) && c != '?' && c != '#';
          });
 }
--- a/src/fleet/tests/diff_test.cc
+++ b/src/fleet/tests/diff_test.cc
@@ -7,9 +7,9 @@
 namespace {
 
 /// Two equal documents; each test changes the second.
-class FleetDiffing {
+class FleetDiffFixture {
  protected:
-  FleetDiffing() {
+  FleetDiffFixture() {
     const std::string digest_a(64, 'a');
     const std::string digest_b(64, 'b');
     this->before.name = "test";
@@ -30,7 +30,7 @@
     this->after = this->before;
   }
 
-  std::vector<std::string> Lines() const {
+  std::vector<std::string> DescribeChanges() const {
     std::vector<std::string> lines;
     for (const FleetDifference& change : DiffFleet(this->before, this->after)) {
       lines.push_back(ToText(change));
@@ -51,18 +51,18 @@
 
 using TextLines = std::vector<std::string>;
 
-TEST_CASE_METHOD(FleetDiffing, "fleet difference, equal, is empty") {
+TEST_CASE_METHOD(FleetDiffFixture, "fleet difference, equal, is empty") {
   this->after.change_id = "c2";
   this->after.author = "someone";
-  CHECK(this->Lines().empty());
+  CHECK(this->DescribeChanges().empty());
   this->CheckPatch();
 }
 
-TEST_CASE_METHOD(FleetDiffing, "fleet difference, changes, are named") {
+TEST_CASE_METHOD(FleetDiffFixture, "fleet difference, changes, are listed") {
   SECTION("changed members") {
     this->after.organisations[0].weight = 3;
     this->after.weights.tail = 0.75;
-    CHECK(this->Lines() ==
+    CHECK(this->DescribeChanges() ==
           TextLines{"changed organisations/dairy: weight 1.0 -> "
                     "3.0",
                     "changed weights: tail 0.5 -> 0.75"});
@@ -70,7 +70,7 @@
   SECTION("added and removed") {
     this->after.failure_domains.push_back({{"fd2"}, "region"});
     this->after.upstreams.erase(this->after.upstreams.begin());
-    const TextLines lines = this->Lines();
+    const TextLines lines = this->DescribeChanges();
     REQUIRE(lines.size() == 2);
     CHECK(lines[0] ==
           "added failure_domains/fd2: {\"id\":\"fd2\",\"region\":\"region\"}");
@@ -78,13 +78,13 @@
   }
   SECTION("order of routes, whose first one is the model's default") {
     std::swap(this->after.routes[0], this->after.routes[1]);
-    CHECK(this->Lines() == TextLines{"reordered routes"});
+    CHECK(this->DescribeChanges() == TextLines{"reordered routes"});
   }
   this->CheckPatch();
 }
 
-TEST_CASE_METHOD(FleetDiffing,
-                 "fleet patch, an element in the middle goes, stays small") {
+TEST_CASE_METHOD(FleetDiffFixture,
+                 "fleet patch, an element in the middle removed, stays small") {
   this->after.upstreams.erase(this->after.upstreams.begin() + 1);
   this->after.upstreams[0].checks_fencing = false;
   this->after.upstreams.push_back(
@@ -99,7 +99,9 @@
   this->CheckPatch();
 }
 
-TEST_CASE_METHOD(FleetDiffing, "fleet patch, unfit or harmful, gives faults") {
+TEST_CASE_METHOD(
+    FleetDiffFixture,
+    "fleet patch, inapplicable or with an invalid result, gives errors") {
   CHECK_FALSE(PatchFleet(this->before, "{").Ok());
   CHECK_FALSE(
       PatchFleet(this->before, R"([{"op":"remove","path":"/upstreams/77"}])")
--- a/src/fleet/tests/examples_test.cc
+++ b/src/fleet/tests/examples_test.cc
@@ -22,13 +22,14 @@
 }
 
 TEST_CASE(
-    "example documents, as delivered, are valid and of the users' sizes") {
+    "example documents, as delivered, are valid and have the users' fleet "
+    "sizes") {
   const auto [name, engines] = GENERATE(table<std::string, std::ptrdiff_t>(
       {{"swan-coast.json", 9}, {"syrtos.json", 12}}));
   const std::string text = ReadExample(name);
   const FleetParseResult result = ParseFleet(text);
-  for (const FleetValidationError& fault : result.errors) {
-    UNSCOPED_INFO(name << fault.pointer << " " << fault.message);
+  for (const FleetValidationError& error : result.errors) {
+    UNSCOPED_INFO(name << error.pointer << " " << error.message);
   }
   REQUIRE(result.Ok());
   CHECK(result.document.failure_domains.size() == 3);
--- a/src/fleet/tests/parse_test.cc
+++ b/src/fleet/tests/parse_test.cc
@@ -10,10 +10,10 @@
 constexpr char kDigest[] =
     "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08";
 
-/// A small valid document that each test spoils in its own way.
-class FleetParsing {
+/// A small valid document that each test modifies.
+class FleetParseFixture {
  protected:
-  FleetParsing() {
+  FleetParseFixture() {
     this->json = {
         {"name", "test"},
         {"failure_domains", {{{"id", "a"}, {"region", "r"}}}},
@@ -37,9 +37,9 @@
 
   std::vector<std::string> Pointers() const {
     std::vector<std::string> pointers;
-    for (const FleetValidationError& fault :
+    for (const FleetValidationError& error :
          ParseFleet(this->json.dump()).errors) {
-      pointers.push_back(fault.pointer);
+      pointers.push_back(error.pointer);
     }
     return pointers;
   }
@@ -53,8 +53,8 @@
 
 using PointerList = std::vector<std::string>;
 
-TEST_CASE_METHOD(FleetParsing,
-                 "fleet document, smallest valid, is read with defaults") {
+TEST_CASE_METHOD(FleetParseFixture,
+                 "fleet document, minimal, is parsed with defaults") {
   const FleetParseResult result = ParseFleet(this->json.dump());
   REQUIRE(result.Ok());
   CHECK(result.document.weights.stall == 0.5);
@@ -64,8 +64,8 @@
   CHECK(result.document.services[0].rules[0].idempotent);
 }
 
-TEST_CASE_METHOD(FleetParsing,
-                 "fleet document, written and read again, is the same") {
+TEST_CASE_METHOD(FleetParseFixture,
+                 "fleet document, written and parsed again, is unchanged") {
   this->At("/routes/0/default_deadline_s") = 0.25;
   this->At("/change_id") = "c-1";
   const FleetParseResult first = ParseFleet(this->json.dump());
@@ -80,8 +80,8 @@
         std::chrono::milliseconds(250));
 }
 
-TEST_CASE_METHOD(FleetParsing,
-                 "fleet document, several faults, names all at once") {
+TEST_CASE_METHOD(FleetParseFixture,
+                 "fleet document, several errors, reports all at once") {
   this->At("/name") = "";
   this->At("/weights") = {{"stall", 1.5}, {"speed", 1}};
   this->At("/upstreams/0/url") = "https://engine:8000";
@@ -93,7 +93,8 @@
                                         "/upstreams/0/failure_domain"});
 }
 
-TEST_CASE_METHOD(FleetParsing, "fleet document, one fault, points at it") {
+TEST_CASE_METHOD(FleetParseFixture,
+                 "fleet document, one error, reports its pointer") {
   SECTION("duplicate id") {
     this->json["failure_domains"].push_back({{"id", "a"}, {"region", "q"}});
     CHECK(this->Pointers() == PointerList{"/failure_domains/1/id"});
@@ -129,11 +130,11 @@
     this->At("/routes") = nlohmann::json::array();
     CHECK(this->Pointers() == PointerList{"/models/0/name"});
   }
-  SECTION("rule hidden by an earlier one") {
+  SECTION("rule shadowed by an earlier one") {
     this->At("/services/0/rules/0/method") = "*";
     CHECK(this->Pointers() == PointerList{"/services/0/rules/1"});
   }
-  SECTION("rule whose prefix is part of a segment only") {
+  SECTION("rule whose prefix matches only part of a segment") {
     this->At("/services/0/rules/0") = {
         {"method", "*"}, {"path_prefix", "/rec"}, {"idempotent", true}};
     this->At("/services/0/rules/1/path_prefix") = "/recipes";
@@ -141,11 +142,11 @@
     this->At("/services/0/rules/1/path_prefix") = "/rec/7";
     CHECK(this->Pointers() == PointerList{"/services/0/rules/1"});
   }
-  SECTION("default deadline over the greatest") {
+  SECTION("default deadline above the maximum") {
     this->At("/routes/0/default_deadline_s") = 4000;
     CHECK(this->Pointers() == PointerList{"/routes/0/default_deadline_s"});
   }
-  SECTION("whole number with a fraction") {
+  SECTION("integer with a fraction") {
     this->At("/organisations/0/max_concurrent") = 1.5;
     CHECK(this->Pointers() == PointerList{"/organisations/0/max_concurrent"});
   }
@@ -155,7 +156,7 @@
   }
 }
 
-TEST_CASE("fleet document, text that is no document, gives one fault") {
+TEST_CASE("fleet document, text that is no document, gives one error") {
   CHECK(ParseFleet("").errors.size() == 1);
   CHECK(ParseFleet("{\"name\":").errors.size() == 1);
   CHECK(ParseFleet("[]").errors.size() == 1);
@@ -163,27 +164,30 @@
   CHECK(ParseFleet(std::string(100000, '[')).errors.size() == 1);
 }
 
-TEST_CASE_METHOD(FleetParsing,
-                 "fleet document, member twice in one object, is refused") {
+TEST_CASE_METHOD(
+    FleetParseFixture,
+    "fleet document, duplicate member in one object, is rejected") {
   std::string text = this->json.dump();
   text.insert(1, "\"name\":\"other\",");
   const FleetParseResult result = ParseFleet(text);
   REQUIRE(result.errors.size() == 1);
   CHECK(result.errors[0].message ==
-        "member \"name\" stands twice in an object");
+        "member \"name\" occurs twice in an object");
 }
 
-TEST_CASE_METHOD(FleetParsing, "upstream url, by shape, is taken or refused") {
+TEST_CASE_METHOD(
+    FleetParseFixture,
+    "upstream url, valid and invalid formats, is accepted or rejected") {
   const std::vector<std::pair<std::string, bool>> cases = {
       {"http://10.0.0.1:80", true},     {"http://[::1]:8000", true},
       {"http://10.0.0.1", false},       {"http://10.0.0.1:0", false},
       {"http://10.0.0.1:65536", false}, {"http://10.0.0.1:80/", false},
       {"http://host:80", false},        {"http://u@10.0.0.1:80", false},
       {"ftp://10.0.0.1:80", false},     {"http://::1:80", false}};
-  for (const auto& [url, taken] : cases) {
+  for (const auto& [url, accepted] : cases) {
     this->At("/upstreams/0/url") = url;
     INFO(url);
-    CHECK(this->Pointers().empty() == taken);
+    CHECK(this->Pointers().empty() == accepted);
   }
 }
 
