--- a/src/settings/detail/parser.h
+++ b/src/settings/detail/parser.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Reads a program's settings and names every fault of them at once.
+/// @brief Parses a program's settings and reports all errors at once.
 #pragma once
 
 #include <cstdint>
@@ -14,74 +14,75 @@
 
 namespace limpetlink {
 
-/// @brief Whether a setting may be left out.
+/// @brief Whether a setting may be omitted.
 enum class Requirement { kOptional, kRequired };
 
-/// @brief Exit code of a program whose settings are at fault.
+/// @brief Exit code of a program with invalid settings.
 inline constexpr int kExitInvalidSettings = 2;
 
-/// @brief Takes a setting's text in.
-/// @return what is wrong with the text, or nothing when it was taken
+/// @brief Parses the text of a setting and stores its value.
+/// @return an error message; empty if the text is valid
 using AssignSetting =
     std::function<std::optional<std::string>(const std::string& text)>;
 
-/// @brief Reads one environment variable; nullptr when it is not set.
+/// @brief Returns the value of an environment variable; nullptr if it is not
+/// set.
 using ReadEnvironment = std::function<const char*(const char* name)>;
 
-/// @brief What parsing came to.
+/// @brief Result of parsing the settings.
 struct SettingsResult {
-  bool show_text =
-      false;         ///< --help or --version was asked for; `text` holds it
-  std::string text;  ///< the help or the version
-  std::vector<std::string> errors;  ///< every fault found, one line each
+  bool show_text = false;           ///< whether --help or --version was given
+  std::string text;                 ///< help or version text to print
+  std::vector<std::string> errors;  ///< all errors, one line each
 };
 
 /// @brief Declares settings and fills variables from flags and environment
-/// variables; a flag wins
-///        over its variable. Flag `--peer-secret` has the variable
-///        `LIMPET_PEER_SECRET`.
+/// variables. A flag takes precedence over its environment variable; flag
+/// `--peer-secret` has the variable `LIMPET_PEER_SECRET`.
 /// @note Example:
 /// @code
 /// std::string listen = "127.0.0.1:8080";
 /// SettingsParser parser("limpet-entry", "Serves callers.");
-/// parser.Text("listen", "address for callers, ip:port", &listen,
-/// Requirement::kRequired); if (const std::optional<int> code =
-/// parser.ParseOrExitCode(argc, argv)) { return *code; }
+/// parser.Address("listen", "address for callers, ip:port", &listen,
+///                Requirement::kRequired);
+/// if (const std::optional<int> code = parser.ParseOrExitCode(argc, argv)) {
+///   return *code;
+/// }
 /// @endcode
 class SettingsParser {
  public:
-  /// @param program the binary's name
-  /// @param summary one line for --help
+  /// @param program name of the program
+  /// @param summary one-line description for --help
   SettingsParser(std::string program, std::string summary);
 
-  /// @brief Declares a setting that takes any text but the empty one.
+  /// @brief Declares a setting that accepts any non-empty text.
   SettingsParser& Text(std::string name, std::string help, std::string* target,
-                       Requirement need = Requirement::kOptional);
+                       Requirement requirement = Requirement::kOptional);
 
-  /// @brief Declares a whole number between two bounds, both allowed.
+  /// @brief Declares an integer setting with an inclusive range.
   SettingsParser& Number(std::string name, std::string help,
-                         std::uint64_t* target, std::uint64_t low,
-                         std::uint64_t high,
-                         Requirement need = Requirement::kOptional);
+                         std::uint64_t* target, std::uint64_t min,
+                         std::uint64_t max,
+                         Requirement requirement = Requirement::kOptional);
 
-  /// @brief Declares a switch; `--name` alone means true.
+  /// @brief Declares a Boolean setting; `--name` without a value means true.
   SettingsParser& Switch(std::string name, std::string help, bool* target);
 
-  /// @brief Declares an address written "ip:port".
+  /// @brief Declares a setting that accepts an address "ip:port".
   SettingsParser& Address(std::string name, std::string help,
                           std::string* target,
-                          Requirement need = Requirement::kOptional);
+                          Requirement requirement = Requirement::kOptional);
 
-  /// @brief Declares a setting with a check of its own.
-  /// @param assign takes the text in or says what is wrong
+  /// @brief Declares a setting with a custom parser.
+  /// @param assign stores the value or returns an error message
   SettingsParser& Checked(std::string name, std::string help,
                           AssignSetting assign,
-                          Requirement need = Requirement::kOptional);
+                          Requirement requirement = Requirement::kOptional);
 
-  /// @brief Declares a setting that takes a name of an enum's table.
+  /// @brief Declares a setting that accepts the names in an enum's table.
   template <typename Enum>
   SettingsParser& Choice(std::string name, std::string help, Enum* target,
-                         Requirement need = Requirement::kOptional) {
+                         Requirement requirement = Requirement::kOptional) {
     return this->Checked(
         std::move(name), std::move(help),
         [target](const std::string& text) -> std::optional<std::string> {
@@ -92,23 +93,24 @@
           *target = *value;
           return std::nullopt;
         },
-        need);
+        requirement);
   }
 
-  /// @brief Takes arguments that are no flags, as a command and its operands.
+  /// @brief Accepts positional arguments, such as a command and its operands.
   SettingsParser& Operands(std::string help, std::vector<std::string>* target);
 
-  /// @brief Reads flags and variables into the declared targets.
-  /// @param argc,argv as main got them
-  /// @param environment reads a variable
-  /// @return help or version to show, or every fault; empty when all is well
+  /// @brief Parses flags and environment variables into the declared targets.
+  /// @param argc,argv arguments of main
+  /// @param environment reads an environment variable
+  /// @return help or version text to print, or all errors; neither if the
+  /// settings are valid
   SettingsResult Parse(int argc, const char* const* argv,
                        const ReadEnvironment& environment) const;
 
-  /// @brief Parses with the process's environment and prints help, version or
-  /// errors.
-  /// @return the exit code when the program is to end now: 0 after help,
-  /// kExitInvalidSettings on errors
+  /// @brief Parses with the environment of the process and prints help, version
+  /// or errors.
+  /// @return the exit code if the program must exit: 0 after help or version,
+  /// kExitInvalidSettings after errors
   std::optional<int> ParseOrExitCode(int argc, const char* const* argv) const;
 
  private:
@@ -116,14 +118,14 @@
     std::string name;
     std::string help;
     AssignSetting assign;
-    Requirement need = Requirement::kOptional;
+    Requirement requirement = Requirement::kOptional;
     bool is_switch = false;
   };
 
-  void TakeSetting(const Setting& setting,
-                   const std::optional<std::string>& flag,
-                   const ReadEnvironment& environment,
-                   std::vector<std::string>* errors) const;
+  void ApplySetting(const Setting& setting,
+                    const std::optional<std::string>& flag,
+                    const ReadEnvironment& environment,
+                    std::vector<std::string>* errors) const;
 
   std::string program;
   std::string summary;
@@ -132,16 +134,18 @@
   std::vector<Setting> settings;
 };
 
-/// @brief Name of the environment variable of a flag.
-/// @param flag as "peer-secret"
-/// @return as "LIMPET_PEER_SECRET"
+/// @brief Returns the name of a flag's environment variable.
+/// @param flag name of the flag, for example "peer-secret"
+/// @return the variable, for example "LIMPET_PEER_SECRET"
 std::string EnvironmentName(std::string_view flag);
 
-/// @brief Says what is wrong with an address, or nothing for a right "ip:port".
-/// @param text as "127.0.0.1:8080" or "[::1]:8080"; port 0 is allowed
+/// @brief Validates an address of the form "ip:port".
+/// @param text address, for example "127.0.0.1:8080" or "[::1]:8080"; port 0 is
+/// allowed
+/// @return an error message; empty if the address is valid
 std::optional<std::string> ValidateAddress(const std::string& text);
 
-/// @brief Version of the programs.
+/// @brief Returns the version of the programs.
 std::string_view ProgramVersion();
 
 }  // namespace limpetlink
--- a/src/settings/parser.cc
+++ b/src/settings/parser.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::string_view kVersion = "0.1.0";
-constexpr unsigned kLargestPort = 65535;
+constexpr unsigned kMaxPort = 65535;
 
 std::optional<std::uint64_t> ParseNumber(std::string_view text) {
   std::uint64_t value = 0;
@@ -30,9 +30,9 @@
          inet_pton(AF_INET6, text.c_str(), &storage) == 1;
 }
 
-// An option that stands last without its value would stop the parser before the
-// other errors.
-std::optional<std::string> NameOfFlag(std::string_view argument) {
+// Returns the name of a flag given without `=VALUE`. A last flag that lacks its
+// value would stop the parser before it reports the other errors.
+std::optional<std::string> FlagName(std::string_view argument) {
   if (argument.size() < 3 || argument.substr(0, 2) != "--") {
     return std::nullopt;
   }
@@ -56,17 +56,17 @@
 std::optional<std::string> ValidateAddress(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string::npos) {
-    return "is not written ip:port";
+    return "is not of the form ip:port";
   }
   std::string host = text.substr(0, colon);
   if (host.size() >= 2 && host.front() == '[' && host.back() == ']') {
     host = host.substr(1, host.size() - 2);
   }
   if (!IsIpAddress(host)) {
-    return "does not start with an IP number";
+    return "does not start with an IP address";
   }
   const std::optional<std::uint64_t> port = ParseNumber(text.substr(colon + 1));
-  if (!port.has_value() || *port > kLargestPort) {
+  if (!port.has_value() || *port > kMaxPort) {
     return "does not end with a port between 0 and 65535";
   }
   return std::nullopt;
@@ -79,14 +79,15 @@
 
 SettingsParser& SettingsParser::Checked(std::string name, std::string help,
                                         AssignSetting assign,
-                                        Requirement need) {
-  this->settings.push_back(
-      {std::move(name), std::move(help), std::move(assign), need, false});
+                                        Requirement requirement) {
+  this->settings.push_back({std::move(name), std::move(help), std::move(assign),
+                            requirement, false});
   return *this;
 }
 
 SettingsParser& SettingsParser::Text(std::string name, std::string help,
-                                     std::string* target, Requirement need) {
+                                     std::string* target,
+                                     Requirement requirement) {
   const auto assign =
       [target](const std::string& text) -> std::optional<std::string> {
     if (text.empty()) {
@@ -95,23 +96,24 @@
     *target = text;
     return std::nullopt;
   };
-  return this->Checked(std::move(name), std::move(help), assign, need);
+  return this->Checked(std::move(name), std::move(help), assign, requirement);
 }
 
 SettingsParser& SettingsParser::Number(std::string name, std::string help,
-                                       std::uint64_t* target, std::uint64_t low,
-                                       std::uint64_t high, Requirement need) {
+                                       std::uint64_t* target, std::uint64_t min,
+                                       std::uint64_t max,
+                                       Requirement requirement) {
   const auto assign =
       [=](const std::string& text) -> std::optional<std::string> {
     const std::optional<std::uint64_t> value = ParseNumber(text);
-    if (!value.has_value() || *value < low || *value > high) {
-      return "is not a whole number from " + std::to_string(low) + " to " +
-             std::to_string(high);
+    if (!value.has_value() || *value < min || *value > max) {
+      return "is not an integer from " + std::to_string(min) + " to " +
+             std::to_string(max);
     }
     *target = *value;
     return std::nullopt;
   };
-  return this->Checked(std::move(name), std::move(help), assign, need);
+  return this->Checked(std::move(name), std::move(help), assign, requirement);
 }
 
 SettingsParser& SettingsParser::Switch(std::string name, std::string help,
@@ -130,16 +132,17 @@
 }
 
 SettingsParser& SettingsParser::Address(std::string name, std::string help,
-                                        std::string* target, Requirement need) {
+                                        std::string* target,
+                                        Requirement requirement) {
   const auto assign =
       [target](const std::string& text) -> std::optional<std::string> {
-    std::optional<std::string> fault = ValidateAddress(text);
-    if (!fault.has_value()) {
+    std::optional<std::string> error = ValidateAddress(text);
+    if (!error.has_value()) {
       *target = text;
     }
-    return fault;
+    return error;
   };
-  return this->Checked(std::move(name), std::move(help), assign, need);
+  return this->Checked(std::move(name), std::move(help), assign, requirement);
 }
 
 SettingsParser& SettingsParser::Operands(std::string help,
@@ -149,10 +152,10 @@
   return *this;
 }
 
-void SettingsParser::TakeSetting(const Setting& setting,
-                                 const std::optional<std::string>& flag,
-                                 const ReadEnvironment& environment,
-                                 std::vector<std::string>* errors) const {
+void SettingsParser::ApplySetting(const Setting& setting,
+                                  const std::optional<std::string>& flag,
+                                  const ReadEnvironment& environment,
+                                  std::vector<std::string>* errors) const {
   const std::string variable = EnvironmentName(setting.name);
   const std::string source = flag.has_value() ? "--" + setting.name : variable;
   std::optional<std::string> text = flag;
@@ -163,13 +166,13 @@
     }
   }
   if (!text.has_value()) {
-    if (setting.need == Requirement::kRequired) {
+    if (setting.requirement == Requirement::kRequired) {
       errors->push_back("--" + setting.name + " (" + variable + ") is missing");
     }
     return;
   }
-  if (const std::optional<std::string> fault = setting.assign(*text)) {
-    errors->push_back(source + " " + *fault);
+  if (const std::optional<std::string> error = setting.assign(*text)) {
+    errors->push_back(source + " " + *error);
   }
 }
 
@@ -193,10 +196,10 @@
         value);
   }
   std::vector<const char*> arguments(argv, argv + argc);
-  const std::optional<std::string> last =
-      NameOfFlag(argc > 1 ? arguments.back() : "");
+  const std::optional<std::string> trailing_flag =
+      FlagName(argc > 1 ? arguments.back() : "");
   for (const Setting& setting : this->settings) {
-    if (last == setting.name && !setting.is_switch) {
+    if (trailing_flag == setting.name && !setting.is_switch) {
       result.errors.push_back("--" + setting.name + " needs a value");
       arguments.pop_back();
     }
@@ -223,7 +226,7 @@
     if (parsed.count(setting.name) > 0) {
       flag = parsed[setting.name].as<std::string>();
     }
-    this->TakeSetting(setting, flag, environment, &result.errors);
+    this->ApplySetting(setting, flag, environment, &result.errors);
   }
   return result;
 }
@@ -240,9 +243,9 @@
     return std::nullopt;
   }
   std::cerr << this->program << ": " << result.errors.size()
-            << " fault(s) in the settings\n";
-  for (const std::string& fault : result.errors) {
-    std::cerr << "  " << fault << '\n';
+            << " invalid setting(s)\n";
+  for (const std::string& error : result.errors) {
+    std::cerr << "  " << error << '\n';
   }
   return kExitInvalidSettings;
 }
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Settings of the programs: flags and LIMPET_* environment variables,
-/// checked at start.
+/// @brief Program settings from flags and LIMPET_* environment variables,
+/// validated at startup.
 #pragma once
 
 #include "settings/detail/parser.h"
--- a/src/settings/tests/parser_test.cc
+++ b/src/settings/tests/parser_test.cc
@@ -45,7 +45,7 @@
 }  // namespace
 
 TEST_CASE_METHOD(SettingsFixture,
-                 "settings, flags and variables given, flags win") {
+                 "settings, flags and variables given, flags take precedence") {
   this->environment = {{"LIMPET_LISTEN", "127.0.0.1:1"},
                        {"LIMPET_HOST_ID", "from-variable"}};
   const SettingsResult result =
@@ -60,7 +60,7 @@
 }
 
 TEST_CASE_METHOD(SettingsFixture,
-                 "settings, several faults, all are named at once") {
+                 "settings, several errors, all are reported at once") {
   this->environment = {{"LIMPET_SEED", "11"}, {"LIMPET_CHECK", "perhaps"}};
   const SettingsResult result =
       this->Parse({"--listen=nowhere", "--unknown=1", "--host-id"});
@@ -68,14 +68,14 @@
 }
 
 TEST_CASE_METHOD(SettingsFixture,
-                 "settings, help or version asked for, the text is shown") {
+                 "settings, help or version requested, the text is returned") {
   const SettingsResult help = this->Parse({"--help"});
   CHECK(help.show_text);
   CHECK(help.text.find("LIMPET_HOST_ID") != std::string::npos);
   CHECK(this->Parse({"--version"}).text == "program 0.1.0\n");
 }
 
-TEST_CASE("an address, several spellings, only ip and port pass") {
+TEST_CASE("an address, several formats, only ip and port are valid") {
   CHECK_FALSE(limpetlink::ValidateAddress("127.0.0.1:8080").has_value());
   CHECK_FALSE(limpetlink::ValidateAddress("[::1]:0").has_value());
   CHECK(limpetlink::ValidateAddress("localhost:80").has_value());
