--- a/src/fleet/check.cc
+++ b/src/fleet/check.cc
@@ -11,25 +11,25 @@
 namespace limpetlink {
 namespace {
 
-/// Remembers where each text stood first and reports the second place.
-class FirstPlaces {
+/// @brief Records the first pointer of each value and reports duplicates.
+class UniquenessChecker {
  public:
-  explicit FirstPlaces(FleetFaults* faults) : faults(faults) {}
+  explicit UniquenessChecker(FleetValidationErrors* errors) : errors(errors) {}
 
   void Add(const std::string& text, const std::string& pointer) {
     if (text.empty()) {
-      return;  // the member is at fault already
+      return;  // an invalid or missing member, reported already
     }
-    const auto [place, added] = this->places.emplace(text, pointer);
+    const auto [first, added] = this->first_pointers.emplace(text, pointer);
     if (!added) {
-      this->faults->push_back(
-          {pointer, absl::StrCat("stands already at ", place->second)});
+      this->errors->push_back(
+          {pointer, absl::StrCat("duplicates the value at ", first->second)});
     }
   }
 
  private:
-  std::map<std::string, std::string> places;
-  FleetFaults* faults;
+  std::map<std::string, std::string> first_pointers;
+  FleetValidationErrors* errors;
 };
 
 std::string At(std::string_view list, std::size_t index,
@@ -38,34 +38,36 @@
   return MemberPointer(element, member);
 }
 
-/// Checks one member of every element of a list for texts that stand twice.
+/// Reports values of one member that occur in several elements of a list.
 template <typename T, typename Get>
 void CheckUnique(const std::vector<T>& elements, std::string_view list,
-                 std::string_view member, Get get, FleetFaults* faults) {
-  FirstPlaces places(faults);
+                 std::string_view member, Get get,
+                 FleetValidationErrors* errors) {
+  UniquenessChecker checker(errors);
   for (std::size_t i = 0; i < elements.size(); ++i) {
-    places.Add(get(elements[i]), At(list, i, member));
+    checker.Add(get(elements[i]), At(list, i, member));
   }
 }
 
 void CheckKeyDigests(const std::vector<Organisation>& organisations,
-                     FleetFaults* faults) {
-  FirstPlaces places(faults);
+                     FleetValidationErrors* errors) {
+  UniquenessChecker checker(errors);
   for (std::size_t i = 0; i < organisations.size(); ++i) {
     const std::string list = At("organisations", i, "key_digests");
     const auto& digests = organisations[i].key_digests;
     for (std::size_t k = 0; k < digests.size(); ++k) {
-      places.Add(digests[k], ElementPointer(list, k));
+      checker.Add(digests[k], ElementPointer(list, k));
     }
   }
 }
 
-void CheckAdapters(const std::vector<Model>& models, FleetFaults* faults) {
+void CheckAdapters(const std::vector<Model>& models,
+                   FleetValidationErrors* errors) {
   for (std::size_t i = 0; i < models.size(); ++i) {
-    FirstPlaces places(faults);
+    UniquenessChecker checker(errors);
     const std::string list = At("models", i, "adapters");
     for (std::size_t k = 0; k < models[i].adapters.size(); ++k) {
-      places.Add(models[i].adapters[k], ElementPointer(list, k));
+      checker.Add(models[i].adapters[k], ElementPointer(list, k));
     }
   }
 }
@@ -86,63 +88,65 @@
 
 std::string IdOfDomain(const FailureDomain& domain) { return domain.id.value; }
 
-void CheckKnown(const std::set<std::string>& known, const std::string& text,
-                const std::string& pointer, std::string_view what,
-                FleetFaults* faults) {
+void CheckReference(const std::set<std::string>& known, const std::string& text,
+                    const std::string& pointer, std::string_view kind,
+                    FleetValidationErrors* errors) {
   if (!text.empty() && known.count(text) == 0) {
-    faults->push_back(
-        {pointer,
-         absl::StrCat("names no ", absl::string_view(what.data(), what.size()),
-                      " of this document: ", text)});
+    errors->push_back(
+        {pointer, absl::StrCat("refers to no ",
+                               absl::string_view(kind.data(), kind.size()),
+                               " of this document: ", text)});
   }
 }
 
-void CheckUpstreams(const FleetDocument& document, FleetFaults* faults) {
+void CheckUpstreams(const FleetDocument& document,
+                    FleetValidationErrors* errors) {
   const auto models = Collect(document.models, NameOfModel);
   const auto services = Collect(document.services, NameOfService);
   const auto domains = Collect(document.failure_domains, IdOfDomain);
   for (std::size_t i = 0; i < document.upstreams.size(); ++i) {
     const Upstream& upstream = document.upstreams[i];
     const bool engine = upstream.kind == UpstreamKind::kEngine;
-    CheckKnown(engine ? models : services, upstream.serves,
-               At("upstreams", i, "serves"), engine ? "model" : "service",
-               faults);
-    CheckKnown(domains, upstream.failure_domain.value,
-               At("upstreams", i, "failure_domain"), "failure domain", faults);
+    CheckReference(engine ? models : services, upstream.serves,
+                   At("upstreams", i, "serves"), engine ? "model" : "service",
+                   errors);
+    CheckReference(domains, upstream.failure_domain.value,
+                   At("upstreams", i, "failure_domain"), "failure domain",
+                   errors);
   }
 }
 
-void CheckRoutes(const FleetDocument& document, FleetFaults* faults) {
+void CheckRoutes(const FleetDocument& document, FleetValidationErrors* errors) {
   const auto models = Collect(document.models, NameOfModel);
   const auto routed = Collect(document.routes, ModelOfRoute);
   for (std::size_t i = 0; i < document.routes.size(); ++i) {
-    CheckKnown(models, document.routes[i].model, At("routes", i, "model"),
-               "model", faults);
+    CheckReference(models, document.routes[i].model, At("routes", i, "model"),
+                   "model", errors);
   }
   for (std::size_t i = 0; i < document.models.size(); ++i) {
     if (routed.count(document.models[i].name) == 0) {
-      faults->push_back({At("models", i, "name"), "has no route"});
+      errors->push_back({At("models", i, "name"), "has no route"});
     }
   }
 }
 
-bool Covers(const ServiceRule& earlier, const ServiceRule& later) {
+bool Shadows(const ServiceRule& earlier, const ServiceRule& later) {
   const bool method = earlier.method == "*" || earlier.method == later.method;
-  return method && PrefixCovers(earlier.path_prefix, later.path_prefix);
+  return method && PrefixMatches(earlier.path_prefix, later.path_prefix);
 }
 
 void CheckRules(const std::vector<ServiceRule>& rules,
-                const std::string& pointer, FleetFaults* faults) {
+                const std::string& pointer, FleetValidationErrors* errors) {
   for (std::size_t i = 1; i < rules.size(); ++i) {
     const auto end = rules.begin() + static_cast<std::ptrdiff_t>(i);
-    const auto hiding =
+    const auto shadowing =
         std::find_if(rules.begin(), end, [&](const ServiceRule& earlier) {
           return !earlier.method.empty() && !earlier.path_prefix.empty() &&
-                 Covers(earlier, rules[i]);
+                 Shadows(earlier, rules[i]);
         });
-    if (hiding != end) {
-      const auto index = static_cast<std::size_t>(hiding - rules.begin());
-      faults->push_back(
+    if (shadowing != end) {
+      const auto index = static_cast<std::size_t>(shadowing - rules.begin());
+      errors->push_back(
           {ElementPointer(pointer, i),
            absl::StrCat("is never reached: ", ElementPointer(pointer, index),
                         " covers it")});
@@ -152,31 +156,33 @@
 
 }  // namespace
 
-void CheckDuplicates(const FleetDocument& document, FleetFaults* faults) {
+void CheckDuplicates(const FleetDocument& document,
+                     FleetValidationErrors* errors) {
   CheckUnique(document.failure_domains, "failure_domains", "id", IdOfDomain,
-              faults);
+              errors);
   CheckUnique(
       document.organisations, "organisations", "id",
       [](const Organisation& organisation) { return organisation.id.value; },
-      faults);
-  CheckUnique(document.models, "models", "name", NameOfModel, faults);
-  CheckUnique(document.services, "services", "name", NameOfService, faults);
+      errors);
+  CheckUnique(document.models, "models", "name", NameOfModel, errors);
+  CheckUnique(document.services, "services", "name", NameOfService, errors);
   CheckUnique(
       document.upstreams, "upstreams", "id",
-      [](const Upstream& upstream) { return upstream.id.value; }, faults);
+      [](const Upstream& upstream) { return upstream.id.value; }, errors);
   CheckUnique(
       document.upstreams, "upstreams", "url",
-      [](const Upstream& upstream) { return upstream.url; }, faults);
-  CheckUnique(document.routes, "routes", "name", NameOfRoute, faults);
-  CheckKeyDigests(document.organisations, faults);
-  CheckAdapters(document.models, faults);
+      [](const Upstream& upstream) { return upstream.url; }, errors);
+  CheckUnique(document.routes, "routes", "name", NameOfRoute, errors);
+  CheckKeyDigests(document.organisations, errors);
+  CheckAdapters(document.models, errors);
 }
 
-void CheckReferences(const FleetDocument& document, FleetFaults* faults) {
-  CheckUpstreams(document, faults);
-  CheckRoutes(document, faults);
+void CheckReferences(const FleetDocument& document,
+                     FleetValidationErrors* errors) {
+  CheckUpstreams(document, errors);
+  CheckRoutes(document, errors);
   for (std::size_t i = 0; i < document.services.size(); ++i) {
-    CheckRules(document.services[i].rules, At("services", i, "rules"), faults);
+    CheckRules(document.services[i].rules, At("services", i, "rules"), errors);
   }
 }
 
