--- a/bench/relay.cc
+++ b/bench/relay.cc
@@ -176,8 +176,8 @@
   return document;
 }
 
-HttpAnswer Ask(const std::string& method, const std::string& url,
-               const std::string& body = "") {
+HttpResponse Ask(const std::string& method, const std::string& url,
+                 const std::string& body = "") {
   HttpCall call;
   call.id = CallId{1};
   call.method = method;
--- a/programs/limpetctl/document_commands.cc
+++ b/programs/limpetctl/document_commands.cc
@@ -74,7 +74,7 @@
 absl::StatusOr<FleetDocument> DocumentInForce(const CtlContext& context,
                                               const std::string& name) {
   PlatformAccess platform = OpenPlatform(context);
-  const auto stored = FetchFleet(&platform, name);
+  const auto stored = ReadStoredFleet(&platform, name);
   if (!stored.ok()) {
     return stored.status();
   }
@@ -219,7 +219,7 @@
     return WrongUse("export needs --fleet");
   }
   PlatformAccess platform = OpenPlatform(context);
-  const auto stored = FetchFleet(&platform, settings.fleet);
+  const auto stored = ReadStoredFleet(&platform, settings.fleet);
   if (!stored.ok()) {
     return Failure(stored.status());
   }
@@ -253,7 +253,7 @@
     return WrongUse("history needs --fleet");
   }
   PlatformAccess platform = OpenPlatform(context);
-  const auto stored = FetchFleet(&platform, settings.fleet);
+  const auto stored = ReadStoredFleet(&platform, settings.fleet);
   if (!stored.ok()) {
     return Failure(stored.status());
   }
--- a/programs/limpetctl/host_commands.cc
+++ b/programs/limpetctl/host_commands.cc
@@ -39,8 +39,8 @@
 }
 
 std::string StatusLine(const HostStatus& status) {
-  if (!status.answered) {
-    return absl::StrCat(status.address, "  no answer: ", status.problem, "\n");
+  if (!status.available) {
+    return absl::StrCat(status.address, "  no answer: ", status.error, "\n");
   }
   const char* state = "not ready";
   if (status.draining) {
@@ -54,11 +54,11 @@
 
 void AddHost(const HostStatus& status, CommandResult* result) {
   result->text += StatusLine(status);
-  Json row = {{"address", status.address}, {"answered", status.answered}};
-  if (status.answered) {
+  Json row = {{"address", status.address}, {"answered", status.available}};
+  if (status.available) {
     row["status"] = Json::parse(status.body, nullptr, false);
   } else {
-    row["problem"] = status.problem;
+    row["problem"] = status.error;
     result->code = ExitCode::kFailed;
   }
   result->json["hosts"].push_back(std::move(row));
@@ -93,7 +93,7 @@
     const HostStatus status =
         QueryStatus(context.exchange, AccessOf(context, address));
     AddHost(status, &result);
-    if (status.answered) {
+    if (status.available) {
       oldest = std::min(oldest, status.fleet_version);
       newest = std::max(newest, status.fleet_version);
     }
@@ -147,7 +147,7 @@
   }
   const std::string& address = context.operands.front();
   const absl::Status ordered =
-      OrderDrain(context.exchange, AccessOf(context, address));
+      SendDrainRequest(context.exchange, AccessOf(context, address));
   if (!ordered.ok()) {
     return Failure(ordered);
   }
--- a/programs/limpetctl/tests/commands_test.cc
+++ b/programs/limpetctl/tests/commands_test.cc
@@ -12,14 +12,14 @@
 /// The platform's object API in memory, and what happens to single answers.
 class MemoryPlatform {
  public:
-  HttpAnswer Exchange(const HttpCall& call) {
+  HttpResponse Exchange(const HttpCall& call) {
     if (this->away) {
       return {HttpEnd::kNotConnected, 0, {}, {}};
     }
     constexpr std::string_view kObjects = "/v1/objects/";
     const std::string path = call.url.substr(call.url.find("/v1/"));
     const std::string key = path.substr(kObjects.size());
-    HttpAnswer answer =
+    HttpResponse answer =
         call.method == "PUT" ? this->Put(key, call) : this->Get(key);
     if (call.method == "PUT" && this->lost_answers > 0 &&
         key.rfind("fleet/", 0) == 0) {
@@ -39,12 +39,12 @@
   bool away = false;
 
  private:
-  static HttpAnswer Answer(int status, const Object& object) {
+  static HttpResponse Answer(int status, const Object& object) {
     const std::string tag = "\"" + std::to_string(object.version) + "\"";
     return {HttpEnd::kComplete, status, {{"ETag", tag}}, object.bytes};
   }
 
-  HttpAnswer Get(const std::string& key) {
+  HttpResponse Get(const std::string& key) {
     const auto found = this->objects.find(key);
     if (found == this->objects.end()) {
       return {HttpEnd::kComplete, 404, {}, {}};
@@ -52,7 +52,7 @@
     return Answer(200, found->second);
   }
 
-  HttpAnswer Put(const std::string& key, const HttpCall& call) {
+  HttpResponse Put(const std::string& key, const HttpCall& call) {
     Object& object = this->objects[key];
     const std::string* match = FindHeader(call.headers, "If-Match");
     const bool absent = FindHeader(call.headers, "If-None-Match") != nullptr;
@@ -196,7 +196,7 @@
 TEST_CASE_METHOD(CtlCommands,
                  "status, hosts of two versions, are not uniform") {
   this->context.settings.hosts = "127.0.0.1:1,127.0.0.1:2,127.0.0.1:3";
-  this->context.exchange = [](const HttpCall& call) -> HttpAnswer {
+  this->context.exchange = [](const HttpCall& call) -> HttpResponse {
     const char port = call.url[std::string("http://127.0.0.1:").size()];
     if (port == '3') {
       return {HttpEnd::kNotConnected, 0, {}, {}};
@@ -216,7 +216,7 @@
 
 TEST_CASE_METHOD(CtlCommands, "status, no hosts given, asks the listed hosts") {
   std::vector<std::string> asked;
-  this->context.exchange = [&asked](const HttpCall& call) -> HttpAnswer {
+  this->context.exchange = [&asked](const HttpCall& call) -> HttpResponse {
     asked.push_back(call.url);
     const bool list = call.url.find("/v1/hosts") != std::string::npos;
     return {HttpEnd::kComplete,
--- a/src/configuration/apply.cc
+++ b/src/configuration/apply.cc
@@ -207,25 +207,25 @@
   const auto is_own = [this](std::string_view json) {
     return this->IsOwn(json);
   };
-  const WriteVerdict verdict = ResolveByReadBack(condition, read, is_own);
+  const WriteOutcome verdict = ResolveByReadBack(condition, read, is_own);
   if (Ran(read.status)) {
     this->seen_version = read.version;
     this->seen_text = read.bytes;
   }
   switch (verdict) {
-    case WriteVerdict::kTookEffect:
+    case WriteOutcome::kApplied:
       this->Applied(now, base + 1);
       return;
-    case WriteVerdict::kNotTaken:
+    case WriteOutcome::kNotApplied:
       this->Conflict();
       return;
-    case WriteVerdict::kRepeat:
+    case WriteOutcome::kRetry:
       this->Begin(now, Step::kWrite);
       return;
-    case WriteVerdict::kCovered:
+    case WriteOutcome::kUndetermined:
       this->Begin(now, Step::kHistory);
       return;
-    case WriteVerdict::kNoAnswer:
+    case WriteOutcome::kReadFailed:
       this->Again(now);
       return;
   }
--- a/src/configuration/tests/apply_test.cc
+++ b/src/configuration/tests/apply_test.cc
@@ -88,7 +88,7 @@
     } else {
       const auto answer = this->platform.Serve(call);
       this->NoteOwn();
-      if (fate == CallFate::kAnswerLost) {
+      if (fate == CallFate::kResponseLost) {
         this->client->OnDone(this->now, {call.id, HttpEnd::kCut});
       } else {
         this->Answer(call, answer);
@@ -101,7 +101,7 @@
     }
   }
 
-  void Answer(const HttpCall& call, const FakePlatform::Answer& answer) {
+  void Answer(const HttpCall& call, const FakePlatform::Response& answer) {
     for (const Event& event : testing::ToEvents(call.id, answer)) {
       if (const auto* head = std::get_if<HttpHead>(&event)) {
         this->client->OnHead(this->now, *head);
@@ -171,7 +171,7 @@
 TEST_CASE(
     "fleet change, every fault at every call with other changes at every "
     "call, is told truly") {
-  constexpr CallFate kFates[] = {CallFate::kServed, CallFate::kAnswerLost,
+  constexpr CallFate kFates[] = {CallFate::kServed, CallFate::kResponseLost,
                                  CallFate::kHangs,  CallFate::kNotConnected,
                                  CallFate::kOutage, CallFate::kThrottled};
   int unknown = 0;
--- a/src/configuration/tests/store_test.cc
+++ b/src/configuration/tests/store_test.cc
@@ -30,7 +30,7 @@
   }
 
   /// @brief Answers the open call, if there is one.
-  void Answer(const testing::FakePlatform::Answer& answer) {
+  void Answer(const testing::FakePlatform::Response& answer) {
     for (const Action& action : this->client.TakeActions()) {
       const auto* call = std::get_if<HttpCall>(&action);
       if (call == nullptr) {
--- a/src/discovery/kind_watch.cc
+++ b/src/discovery/kind_watch.cc
@@ -64,7 +64,7 @@
 
 void KindWatch::TakePage(Instant now, StoreResult* result) {
   if (this->after.empty()) {
-    this->list_began = result->asked_at;
+    this->list_began = result->sent_at;
     this->revision = result->revision;  // changes during later pages come again
     this->changed_at = result->revision;
   }
@@ -93,7 +93,7 @@
     this->hooks.change(now, record);
   }
   if (this->proving) {
-    this->Prove(now, result->asked_at, result->revision);
+    this->Prove(now, result->sent_at, result->revision);
   }
   if (this->unmatched.has_value()) {
     this->TakeProof(*std::exchange(this->unmatched, std::nullopt));
--- a/src/discovery/tests/kind_watch_test.cc
+++ b/src/discovery/tests/kind_watch_test.cc
@@ -15,10 +15,10 @@
   dialect.target = [](const StoreRequest& request) {
     return request.verb == StoreVerb::kListRecords
                ? "/list?after=" + request.after
-               : std::string(request.may_be_stale ? "/stale" : "/watch") +
+               : std::string(request.allow_stale ? "/stale" : "/watch") +
                      "?from=" + std::to_string(request.version);
   };
-  dialect.read = [](StoreVerb /*verb*/, StoreAnswer* answer,
+  dialect.read = [](StoreVerb /*verb*/, StoreResponse* answer,
                     StoreResult* result) {
     if (answer->status == 410) {
       return StoreStatus::kHistoryGone;
--- a/src/entry/cluster_sync.cc
+++ b/src/entry/cluster_sync.cc
@@ -14,7 +14,7 @@
 MetadataStoreSettings PlatformSettingsOf(const EntryHostSettings& settings) {
   MetadataStoreSettings platform;
   platform.url = settings.platform_url;
-  platform.budget = ShareOfLimits(StoreLimits{}, 1);
+  platform.budget = CallBudgetPerHost(StoreLimits{}, 1);
   platform.seed = StableHash("platform", settings.seed);
   return platform;
 }
@@ -180,8 +180,8 @@
 void ClusterSync::OnLiveHosts(const LiveHostsChanged& change) {
   const Instant now = this->shared.now;
   this->configuration.OnHosts(now, change.live, change.neighbours);
-  this->platform.SetBudget(now,
-                           ShareOfLimits(StoreLimits{}, change.live.size()));
+  this->platform.SetBudget(
+      now, CallBudgetPerHost(StoreLimits{}, change.live.size()));
   SetHosts hosts;
   hosts.live = change.live;
   hosts.failure_domains = change.failure_domains;
--- a/src/gateway/gateway_host.cc
+++ b/src/gateway/gateway_host.cc
@@ -243,7 +243,7 @@
             impaired ? "metadata store impaired" : "metadata store regained",
             {{"mode", std::string(ToText(mode))},
              {"failures_in_a_row",
-              std::to_string(this->store.Health().failures_in_a_row)},
+              std::to_string(this->store.Health().consecutive_failures)},
              {"latency_ms", MillisecondsText(this->store.Health().latency)}});
 }
 
--- a/src/gateway/tests/gateway_fixture.cc
+++ b/src/gateway/tests/gateway_fixture.cc
@@ -21,7 +21,7 @@
     const bool list = request.verb == StoreVerb::kListRecords;
     return "/" + request.key.kind + (list ? "/list" : "/watch");
   };
-  dialect.read = [](StoreVerb, StoreAnswer* answer, StoreResult* result) {
+  dialect.read = [](StoreVerb, StoreResponse* answer, StoreResult* result) {
     // "REVISION name name -name": a minus marks a removal.
     std::size_t at = answer->body.find(' ');
     result->revision = std::stoull(answer->body.substr(0, at));
--- a/src/leases/tests/lease_test.cc
+++ b/src/leases/tests/lease_test.cc
@@ -109,7 +109,7 @@
     const bool runs = !away;
     this->queue.emplace(this->now + way, [this, index, call, answered, runs] {
       const auto answer =
-          runs ? this->platform.Serve(call) : testing::FakePlatform::Answer{};
+          runs ? this->platform.Serve(call) : testing::FakePlatform::Response{};
       MetadataStoreClient& client = *this->holders[index].client;
       const Instant local = this->Local(index);
       if (!answered) {
--- a/src/metadata_store/client.cc
+++ b/src/metadata_store/client.cc
@@ -34,7 +34,8 @@
 
 }  // namespace
 
-CallBudget ShareOfLimits(const StoreLimits& limits, std::size_t live_hosts) {
+CallBudget CallBudgetPerHost(const StoreLimits& limits,
+                             std::size_t live_hosts) {
   const auto hosts = static_cast<double>(std::max(live_hosts, kFewestHosts));
   CallBudget budget;
   budget.reads_per_second = limits.reads_per_second * kShareOfLimits / hosts;
@@ -120,13 +121,13 @@
 
 StoreOp MetadataStoreClient::WatchKind(Instant now, const std::string& kind,
                                        std::uint64_t revision, Duration wait,
-                                       bool may_be_stale) {
+                                       bool allow_stale) {
   StoreRequest request;
   request.verb = StoreVerb::kWatchKind;
   request.key.kind = kind;
   request.version = revision;
   request.wait = wait;
-  request.may_be_stale = may_be_stale;
+  request.allow_stale = allow_stale;
   return this->Add(now, std::move(request));
 }
 
@@ -205,7 +206,7 @@
   }
   bucket->tokens -= 1.0;
   if (outage) {
-    this->next_probe = now + this->Backoff(this->health.failures_in_a_row);
+    this->next_probe = now + this->Backoff(this->health.consecutive_failures);
   }
   this->Start(now, op, pending);
   return true;
@@ -323,7 +324,7 @@
     return;
   }
   this->NoteAnswered(now, *pending);
-  result.asked_at = pending->started;
+  result.sent_at = pending->started;
   const StoreStatus read =
       this->settings.dialect.read(result.verb, &pending->answer, &result);
   this->End(op, read, Duration{0});
@@ -353,9 +354,9 @@
 }
 
 void MetadataStoreClient::NoteAnswered(Instant now, const Pending& pending) {
-  this->health.ever_answered = true;
-  this->health.last_answer = now;
-  this->health.failures_in_a_row = 0;
+  this->health.has_responded = true;
+  this->health.last_response = now;
+  this->health.consecutive_failures = 0;
   if (!IsWatch(pending.result.verb)) {
     const Duration latest = now - pending.started;
     const Duration difference = latest - this->health.latency;
@@ -367,12 +368,12 @@
 
 void MetadataStoreClient::NoteFailure(Instant now) {
   ++this->counters.failures;
-  ++this->health.failures_in_a_row;
-  if (this->health.failures_in_a_row < this->settings.outage_after_failures) {
+  ++this->health.consecutive_failures;
+  if (this->health.consecutive_failures < this->settings.outage_threshold) {
     return;
   }
   this->health.mode = StoreMode::kOutage;
-  this->next_probe = now + this->Backoff(this->health.failures_in_a_row);
+  this->next_probe = now + this->Backoff(this->health.consecutive_failures);
 }
 
 Duration MetadataStoreClient::Backoff(std::uint32_t attempts) {
@@ -415,7 +416,7 @@
     this->FinishCall(now, op, HttpEnd::kTimeout);
   }
   for (const std::uint64_t op : queued) {
-    ++this->counters.refused_by_budget;
+    ++this->counters.rejected_by_budget;
     this->End(op, StoreStatus::kThrottled, this->settings.backoff_base);
   }
 }
--- a/src/metadata_store/detail/client.h
+++ b/src/metadata_store/detail/client.h
@@ -25,13 +25,13 @@
   Duration backoff_base{std::chrono::milliseconds(100)};
   Duration backoff_cap{std::chrono::seconds(4)};
   Duration slow_latency{std::chrono::milliseconds(500)};
-  std::uint32_t outage_after_failures = 4;  ///< in a row
-  std::uint32_t max_in_flight = 16;         ///< calls, without watches
+  std::uint32_t outage_threshold = 4;  ///< in a row
+  std::uint32_t max_in_flight = 16;    ///< calls, without watches
   std::uint32_t max_watches = 4;
   Duration watch_margin{
       std::chrono::seconds(2)};  ///< beyond a watch's own wait
   std::uint64_t seed = 1;
-  StoreDialect dialect = OwnStoreDialect();
+  StoreDialect dialect = ObjectApiDialect();
 };
 
 /// @brief Makes the ids of HTTP calls; must be unique within the host.
@@ -94,10 +94,10 @@
   /// records, kHistoryGone, kThrottled or kUnavailable. Never repeated.
   /// @param revision changes above it are wanted
   /// @param wait how long the store holds the call at most
-  /// @param may_be_stale the answer may be seconds old and costs less
+  /// @param allow_stale the answer may be seconds old and costs less
   StoreOp WatchKind(Instant now, const std::string& kind,
                     std::uint64_t revision, Duration wait,
-                    bool may_be_stale = false);
+                    bool allow_stale = false);
 
   /// @brief Reads the host list.
   StoreOp Hosts(Instant now);
@@ -162,7 +162,7 @@
     Instant started{};
     std::uint32_t attempts = 0;
     CallId call;
-    StoreAnswer answer;
+    StoreResponse answer;
   };
 
   StoreOp Add(Instant now, StoreRequest request);
--- a/src/metadata_store/detail/dialect.h
+++ b/src/metadata_store/detail/dialect.h
@@ -18,12 +18,12 @@
   std::string after{};        ///< list: only names above this one
   std::uint32_t limit = 0;    ///< kList: most rows wanted
   std::uint64_t version = 0;  ///< watch: changes above this version or revision
-  bool may_be_stale = false;  ///< cheaper; the answer may be seconds old
+  bool allow_stale = false;   ///< cheaper; the answer may be seconds old
   Duration wait{0};           ///< watch: how long the store may hold the call
 };
 
 /// @brief A whole answer of the store.
-struct StoreAnswer {
+struct StoreResponse {
   int status = 0;
   Headers headers;
   std::string body;
@@ -35,10 +35,10 @@
   std::function<std::string(const StoreRequest&)> target;
   /// Reads an answer other than 429 and 5xx into the result; the answer's body
   /// may be moved away.
-  std::function<StoreStatus(StoreVerb, StoreAnswer*, StoreResult*)> read;
+  std::function<StoreStatus(StoreVerb, StoreResponse*, StoreResult*)> read;
 };
 
 /// @brief The dialect of limpetlink's own object API.
-StoreDialect OwnStoreDialect();
+StoreDialect ObjectApiDialect();
 
 }  // namespace limpetlink
--- a/src/metadata_store/detail/read_back.h
+++ b/src/metadata_store/detail/read_back.h
@@ -10,24 +10,24 @@
 namespace limpetlink {
 
 /// @brief What a read says of an earlier conditional write.
-enum class WriteVerdict {
-  kTookEffect,  ///< the write is the object's current version
-  kNotTaken,    ///< another write took its version: it can never take effect
-  kRepeat,      ///< the object is still at the base version; the lost write may
-            ///< yet arrive, so repeat the same bytes with the same condition:
-            ///< at most one of both takes effect
-  kCovered,   ///< later versions stand above it; only a history can tell
-  kNoAnswer,  ///< the read itself had no answer
+enum class WriteOutcome {
+  kApplied,     ///< the write is the object's current version
+  kNotApplied,  ///< another write took its version: it can never take effect
+  kRetry,       ///< the object is still at the base version; the lost write may
+           ///< yet arrive, so repeat the same bytes with the same condition:
+           ///< at most one of both takes effect
+  kUndetermined,  ///< later versions stand above it; only a history can tell
+  kReadFailed,    ///< the read itself had no answer
 };
 
 template <>
-struct EnumTable<WriteVerdict> {
-  static constexpr EnumName<WriteVerdict> kRows[] = {
-      {WriteVerdict::kTookEffect, "took_effect"},
-      {WriteVerdict::kNotTaken, "not_taken"},
-      {WriteVerdict::kRepeat, "repeat"},
-      {WriteVerdict::kCovered, "covered"},
-      {WriteVerdict::kNoAnswer, "no_answer"}};
+struct EnumTable<WriteOutcome> {
+  static constexpr EnumName<WriteOutcome> kRows[] = {
+      {WriteOutcome::kApplied, "took_effect"},
+      {WriteOutcome::kNotApplied, "not_taken"},
+      {WriteOutcome::kRetry, "repeat"},
+      {WriteOutcome::kUndetermined, "covered"},
+      {WriteOutcome::kReadFailed, "no_answer"}};
 };
 
 /// @brief Says whether an object's bytes were written by the change in
@@ -50,7 +50,7 @@
 /// // later, with the answer of that get:
 /// switch (ResolveByReadBack(condition, read, is_own)) { ... }
 /// @endcode
-WriteVerdict ResolveByReadBack(const WriteCondition& condition,
+WriteOutcome ResolveByReadBack(const WriteCondition& condition,
                                const StoreResult& read,
                                const IsOwnWrite& is_own);
 
--- a/src/metadata_store/detail/types.h
+++ b/src/metadata_store/detail/types.h
@@ -74,18 +74,18 @@
 };
 
 /// @brief What must hold for a write to take effect.
-enum class WriteWhen { kAlways, kAbsent, kVersion };
+enum class WriteConditionKind { kAlways, kAbsent, kVersion };
 
 /// @brief The condition of a write.
 struct WriteCondition {
-  WriteWhen when = WriteWhen::kAlways;
+  WriteConditionKind when = WriteConditionKind::kAlways;
   std::uint64_t version = 0;  ///< for kVersion
 
   /// @return a condition that holds when the object does not exist
-  static WriteCondition IfAbsent() { return {WriteWhen::kAbsent, 0}; }
+  static WriteCondition IfAbsent() { return {WriteConditionKind::kAbsent, 0}; }
   /// @return a condition that holds at exactly this version
   static WriteCondition IfVersion(std::uint64_t version) {
-    return {WriteWhen::kVersion, version};
+    return {WriteConditionKind::kVersion, version};
   }
 };
 
@@ -133,8 +133,8 @@
   std::vector<ObjectRecord> records;  ///< for list_records and watch_kind
   std::uint64_t revision = 0;  ///< of the store, for list_records, watch_kind
   bool truncated = false;      ///< list_records: more follow the last record
-  Instant asked_at{};  ///< when the answered call left; what the answer says
-                       ///< held at that time or later
+  Instant sent_at{};  ///< when the answered call left; what the answer says
+                      ///< held at that time or later
   Duration retry_after{0};  ///< when to ask again, for kThrottled/kUnavailable
 };
 
@@ -157,15 +157,15 @@
 /// knowledge may be.
 struct StoreHealth {
   StoreMode mode = StoreMode::kNormal;
-  bool ever_answered = false;
-  Instant last_answer{};  ///< of the last call that was answered
-  Duration latency{0};    ///< moving mean of answered calls, without watches
-  std::uint32_t failures_in_a_row = 0;
+  bool has_responded = false;
+  Instant last_response{};  ///< of the last call that was answered
+  Duration latency{0};      ///< moving mean of answered calls, without watches
+  std::uint32_t consecutive_failures = 0;
 
   /// @return how long ago the platform last answered; Duration::max() when
   /// never
   Duration Staleness(Instant now) const {
-    return this->ever_answered ? now - this->last_answer : Duration::max();
+    return this->has_responded ? now - this->last_response : Duration::max();
   }
 };
 
@@ -189,16 +189,16 @@
 /// @param limits of the platform
 /// @param live_hosts how many hosts share them; fewer than 6 counts as 6
 /// @return one host's budget; the sum of all hosts' stays at 80% of the limits
-CallBudget ShareOfLimits(const StoreLimits& limits, std::size_t live_hosts);
+CallBudget CallBudgetPerHost(const StoreLimits& limits, std::size_t live_hosts);
 
 /// @brief Calls counted since the client was made.
 struct StoreCounters {
-  std::uint64_t reads = 0;              ///< calls sent: get, list, hosts
-  std::uint64_t watches = 0;            ///< calls sent: watch
-  std::uint64_t writes = 0;             ///< calls sent: put, delete
-  std::uint64_t throttled = 0;          ///< answers 429
-  std::uint64_t failures = 0;           ///< no answer, or 5xx
-  std::uint64_t refused_by_budget = 0;  ///< ended without a call
+  std::uint64_t reads = 0;               ///< calls sent: get, list, hosts
+  std::uint64_t watches = 0;             ///< calls sent: watch
+  std::uint64_t writes = 0;              ///< calls sent: put, delete
+  std::uint64_t throttled = 0;           ///< answers 429
+  std::uint64_t failures = 0;            ///< no answer, or 5xx
+  std::uint64_t rejected_by_budget = 0;  ///< ended without a call
 };
 
 }  // namespace limpetlink
--- a/src/metadata_store/encode.cc
+++ b/src/metadata_store/encode.cc
@@ -70,12 +70,12 @@
 
 void AddCondition(const WriteCondition& condition, Headers* headers) {
   switch (condition.when) {
-    case WriteWhen::kAlways:
+    case WriteConditionKind::kAlways:
       return;
-    case WriteWhen::kAbsent:
+    case WriteConditionKind::kAbsent:
       headers->push_back({"If-None-Match", "*"});
       return;
-    case WriteWhen::kVersion:
+    case WriteConditionKind::kVersion:
       headers->push_back(
           {"If-Match", "\"" + std::to_string(condition.version) + "\""});
       return;
@@ -165,7 +165,7 @@
   }
 }
 
-StoreStatus ReadOwnAnswer(StoreVerb verb, StoreAnswer* answer,
+StoreStatus ReadOwnAnswer(StoreVerb verb, StoreResponse* answer,
                           StoreResult* result) {
   const auto version = ReadVersion(answer->headers);
   result->version = version.value_or(0);
@@ -199,6 +199,6 @@
 
 }  // namespace
 
-StoreDialect OwnStoreDialect() { return {OwnTarget, ReadOwnAnswer}; }
+StoreDialect ObjectApiDialect() { return {OwnTarget, ReadOwnAnswer}; }
 
 }  // namespace limpetlink
--- a/src/metadata_store/read_back.cc
+++ b/src/metadata_store/read_back.cc
@@ -2,25 +2,25 @@
 
 namespace limpetlink {
 
-WriteVerdict ResolveByReadBack(const WriteCondition& condition,
+WriteOutcome ResolveByReadBack(const WriteCondition& condition,
                                const StoreResult& read,
                                const IsOwnWrite& is_own) {
   const std::uint64_t base =
-      condition.when == WriteWhen::kVersion ? condition.version : 0;
+      condition.when == WriteConditionKind::kVersion ? condition.version : 0;
   if (read.status == StoreStatus::kAbsent) {
-    return base == 0 ? WriteVerdict::kRepeat : WriteVerdict::kNotTaken;
+    return base == 0 ? WriteOutcome::kRetry : WriteOutcome::kNotApplied;
   }
   if (read.status != StoreStatus::kOk) {
-    return WriteVerdict::kNoAnswer;
+    return WriteOutcome::kReadFailed;
   }
   if (read.version <= base) {
-    return WriteVerdict::kRepeat;
+    return WriteOutcome::kRetry;
   }
   if (is_own(read.bytes)) {
-    return WriteVerdict::kTookEffect;
+    return WriteOutcome::kApplied;
   }
   const bool next_version = read.version == base + 1;
-  return next_version ? WriteVerdict::kNotTaken : WriteVerdict::kCovered;
+  return next_version ? WriteOutcome::kNotApplied : WriteOutcome::kUndetermined;
 }
 
 }  // namespace limpetlink
--- a/src/metadata_store/tests/client_test.cc
+++ b/src/metadata_store/tests/client_test.cc
@@ -25,7 +25,8 @@
     return calls;
   }
 
-  void Answer(const HttpCall& call, const testing::FakePlatform::Answer& said) {
+  void Answer(const HttpCall& call,
+              const testing::FakePlatform::Response& said) {
     for (const Event& event : testing::ToEvents(call.id, said)) {
       if (const auto* head = std::get_if<HttpHead>(&event)) {
         REQUIRE(this->client.OnHead(this->now, *head));
@@ -166,7 +167,7 @@
     "budget of calls, any number of hosts, sums to at most 80% of the "
     "limits") {
   for (const std::size_t hosts : {6U, 60U, 550U}) {
-    const CallBudget budget = ShareOfLimits({}, hosts);
+    const CallBudget budget = CallBudgetPerHost({}, hosts);
     const auto count = static_cast<double>(hosts);
     CHECK(budget.reads_per_second * count <= 0.8 * 2000.0 + 1e-6);
     CHECK(budget.writes_per_second * count <= 0.8 * 300.0 + 1e-6);
--- a/src/metadata_store/tests/fake_platform.cc
+++ b/src/metadata_store/tests/fake_platform.cc
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-FakePlatform::Answer FakePlatform::Serve(const HttpCall& call) {
+FakePlatform::Response FakePlatform::Serve(const HttpCall& call) {
   const std::size_t host_end = call.url.find('/', call.url.find("//") + 2);
   const std::string target = call.url.substr(host_end);
   const std::size_t mark = target.find('?');
@@ -56,8 +56,8 @@
   if (!watch.empty()) {
     const bool newer = found != this->objects.end() &&
                        found->second.version > std::stoull(watch);
-    return newer ? Answer{200, found->second.version, found->second.bytes}
-                 : Answer{};
+    return newer ? Response{200, found->second.version, found->second.bytes}
+                 : Response{};
   }
   if (found == this->objects.end()) {
     return {404, 0, ""};
@@ -65,8 +65,8 @@
   return {200, found->second.version, found->second.bytes};
 }
 
-FakePlatform::Answer FakePlatform::ServeWrite(const HttpCall& call,
-                                              const std::string& key) {
+FakePlatform::Response FakePlatform::ServeWrite(const HttpCall& call,
+                                                const std::string& key) {
   const auto found = this->objects.find(key);
   const bool exists = found != this->objects.end();
   const std::uint64_t current = exists ? found->second.version : 0;
@@ -86,8 +86,8 @@
   return {exists ? 200 : 201, current + 1, ""};
 }
 
-FakePlatform::Answer FakePlatform::ServeList(const std::string& path,
-                                             const std::string& query) const {
+FakePlatform::Response FakePlatform::ServeList(const std::string& path,
+                                               const std::string& query) const {
   const std::string prefix = QueryValue(query, "prefix");
   const std::string after = QueryValue(query, "after");
   const std::size_t limit = std::stoul(QueryValue(query, "limit"));
@@ -104,7 +104,7 @@
   return {200, 0, nlohmann::json{{"objects", rows}}.dump()};
 }
 
-std::vector<Event> ToEvents(CallId id, const FakePlatform::Answer& answer) {
+std::vector<Event> ToEvents(CallId id, const FakePlatform::Response& answer) {
   Headers headers;
   if (answer.version != 0) {
     headers.push_back({"ETag", "\"" + std::to_string(answer.version) + "\""});
--- a/src/metadata_store/tests/fake_platform.h
+++ b/src/metadata_store/tests/fake_platform.h
@@ -17,7 +17,7 @@
 /// @brief What befalls one call.
 enum class CallFate {
   kServed,
-  kAnswerLost,    ///< runs, then the connection breaks
+  kResponseLost,  ///< runs, then the connection breaks
   kNotConnected,  ///< does not run
   kHangs,         ///< runs, and no answer ever comes
   kOutage,        ///< 503, does not run
@@ -31,14 +31,14 @@
     std::uint64_t version = 0;
     std::string bytes;
   };
-  struct Answer {
+  struct Response {
     int status = 0;  ///< 0: the call waits (watch)
     std::uint64_t version = 0;
     std::string body;
   };
 
   /// @brief Runs a call against the objects.
-  Answer Serve(const HttpCall& call);
+  Response Serve(const HttpCall& call);
 
   std::map<std::string, Object> objects;  ///< by encoded "kind/name"
   std::string hosts_body = R"({"hosts":[]})";
@@ -47,11 +47,11 @@
   std::uint64_t watches = 0;
 
  private:
-  Answer ServeWrite(const HttpCall& call, const std::string& key);
-  Answer ServeList(const std::string& path, const std::string& query) const;
+  Response ServeWrite(const HttpCall& call, const std::string& key);
+  Response ServeList(const std::string& path, const std::string& query) const;
 };
 
 /// @brief Writes an answer as the events an adapter would hand to the core.
-std::vector<Event> ToEvents(CallId id, const FakePlatform::Answer& answer);
+std::vector<Event> ToEvents(CallId id, const FakePlatform::Response& answer);
 
 }  // namespace limpetlink::testing
--- a/src/metadata_store/tests/read_back_test.cc
+++ b/src/metadata_store/tests/read_back_test.cc
@@ -16,7 +16,7 @@
     return read;
   }
 
-  static WriteVerdict Resolve(const StoreResult& read) {
+  static WriteOutcome Resolve(const StoreResult& read) {
     const auto is_own = [](std::string_view bytes) { return bytes == "mine"; };
     return ResolveByReadBack(WriteCondition::IfVersion(4), read, is_own);
   }
@@ -26,12 +26,13 @@
                  "read back, each state of the object, gives the verdict that "
                  "is true of the lost write") {
   using Status = StoreStatus;
-  CHECK(Resolve(Read(Status::kOk, 5, "mine")) == WriteVerdict::kTookEffect);
-  CHECK(Resolve(Read(Status::kOk, 5, "other")) == WriteVerdict::kNotTaken);
-  CHECK(Resolve(Read(Status::kOk, 4, "base")) == WriteVerdict::kRepeat);
-  CHECK(Resolve(Read(Status::kOk, 6, "other")) == WriteVerdict::kCovered);
-  CHECK(Resolve(Read(Status::kUnavailable, 0, "")) == WriteVerdict::kNoAnswer);
-  CHECK(Resolve(Read(Status::kAbsent, 0, "")) == WriteVerdict::kNotTaken);
+  CHECK(Resolve(Read(Status::kOk, 5, "mine")) == WriteOutcome::kApplied);
+  CHECK(Resolve(Read(Status::kOk, 5, "other")) == WriteOutcome::kNotApplied);
+  CHECK(Resolve(Read(Status::kOk, 4, "base")) == WriteOutcome::kRetry);
+  CHECK(Resolve(Read(Status::kOk, 6, "other")) == WriteOutcome::kUndetermined);
+  CHECK(Resolve(Read(Status::kUnavailable, 0, "")) ==
+        WriteOutcome::kReadFailed);
+  CHECK(Resolve(Read(Status::kAbsent, 0, "")) == WriteOutcome::kNotApplied);
 }
 
 }  // namespace
--- a/src/operators/blocking_http.cc
+++ b/src/operators/blocking_http.cc
@@ -24,9 +24,9 @@
 
 std::size_t TakeBody(char* data, std::size_t size, std::size_t count,
                      void* target) {
-  auto* answer = static_cast<HttpAnswer*>(target);
+  auto* answer = static_cast<HttpResponse*>(target);
   const std::size_t bytes = size * count;
-  if (answer->body.size() + bytes > kMaxAnswerBytes) {
+  if (answer->body.size() + bytes > kMaxResponseBytes) {
     return 0;
   }
   answer->body.append(data, bytes);
@@ -45,7 +45,7 @@
 
 std::size_t TakeHeader(char* data, std::size_t size, std::size_t count,
                        void* target) {
-  auto* answer = static_cast<HttpAnswer*>(target);
+  auto* answer = static_cast<HttpResponse*>(target);
   const std::string_view line(data, size * count);
   const std::size_t colon = line.find(':');
   if (line.substr(0, 5) == "HTTP/") {
@@ -79,7 +79,7 @@
 }
 
 void SetUp(CURL* handle, const HttpCall& call, const HeaderList& headers,
-           HttpAnswer* answer) {
+           HttpResponse* answer) {
   const Duration total =
       call.total_timeout.count() > 0 ? call.total_timeout : kStandardTimeout;
   curl_easy_setopt(handle, CURLOPT_URL, call.url.c_str());
@@ -117,8 +117,8 @@
 
 }  // namespace
 
-HttpAnswer ExchangeOverCurl(const HttpCall& call) {
-  HttpAnswer answer;
+HttpResponse ExchangeOverCurl(const HttpCall& call) {
+  HttpResponse answer;
   const EasyHandle handle(curl_easy_init());
   if (handle == nullptr) {
     return answer;
--- a/src/operators/detail/blocking_http.h
+++ b/src/operators/detail/blocking_http.h
@@ -10,10 +10,10 @@
 namespace limpetlink {
 
 /// @brief Greatest body that is taken, in bytes; a larger one cuts the call.
-inline constexpr std::size_t kMaxAnswerBytes = 16U << 20U;
+inline constexpr std::size_t kMaxResponseBytes = 16U << 20U;
 
 /// @brief The answer of a call.
-struct HttpAnswer {
+struct HttpResponse {
   HttpEnd end = HttpEnd::kNotConnected;
   int status = 0;  ///< 0 when no head arrived
   Headers headers;
@@ -21,16 +21,16 @@
 };
 
 /// @brief Carries out a call and waits for its end.
-using HttpExchange = std::function<HttpAnswer(const HttpCall& call)>;
+using HttpExchange = std::function<HttpResponse(const HttpCall& call)>;
 
 /// @brief Carries out a call over libcurl on a connection of its own.
 /// @param call what to send; a total_timeout of 0 means 30 s here
 /// @return the answer; never throws. The request is sent at most once.
 /// @note Example:
 /// @code
-/// const HttpAnswer answer = ExchangeOverCurl({CallId{1}, "GET", url, {}, {}});
-/// if (answer.end == HttpEnd::kComplete && answer.status == 200) { ... }
+/// const HttpResponse answer = ExchangeOverCurl({CallId{1}, "GET", url, {},
+/// {}}); if (answer.end == HttpEnd::kComplete && answer.status == 200) { ... }
 /// @endcode
-HttpAnswer ExchangeOverCurl(const HttpCall& call);
+HttpResponse ExchangeOverCurl(const HttpCall& call);
 
 }  // namespace limpetlink
--- a/src/operators/detail/fleet_changes.h
+++ b/src/operators/detail/fleet_changes.h
@@ -25,8 +25,8 @@
 /// @param name the fleet's name
 /// @return the document with version 0 when there is none; platform.101 when
 /// the platform does not answer; fleet.102 when what stands there is invalid
-absl::StatusOr<StoredFleet> FetchFleet(PlatformAccess* platform,
-                                       const std::string& name);
+absl::StatusOr<StoredFleet> ReadStoredFleet(PlatformAccess* platform,
+                                            const std::string& name);
 
 /// @brief Names a change by what it is, so that the same change applied again
 /// after a lost answer is recognised as the same.
--- a/src/operators/detail/host_queries.h
+++ b/src/operators/detail/host_queries.h
@@ -21,8 +21,8 @@
 /// @brief What an entry host says of itself.
 struct HostStatus {
   std::string address;
-  bool answered = false;
-  std::string problem;  ///< why there is no status; empty when answered
+  bool available = false;
+  std::string error;  ///< why there is no status; empty when answered
   std::string host;
   std::uint64_t fleet_version = 0;
   bool ready = false;
@@ -40,7 +40,8 @@
                                           const HostAccess& access);
 
 /// @brief Tells a host to take no new work and to finish what it has.
-absl::Status OrderDrain(const HttpExchange& exchange, const HostAccess& access);
+absl::Status SendDrainRequest(const HttpExchange& exchange,
+                              const HostAccess& access);
 
 /// @brief Splits "ip:port,ip:port" at commas; empty parts are left out.
 std::vector<std::string> SplitAddresses(std::string_view text);
--- a/src/operators/fleet_changes.cc
+++ b/src/operators/fleet_changes.cc
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-absl::StatusOr<StoredFleet> FetchFleet(PlatformAccess* platform,
-                                       const std::string& name) {
+absl::StatusOr<StoredFleet> ReadStoredFleet(PlatformAccess* platform,
+                                            const std::string& name) {
   const StoreResult read = platform->Get({std::string(kFleetKind), name});
   if (read.status == StoreStatus::kAbsent) {
     return StoredFleet();
--- a/src/operators/host_queries.cc
+++ b/src/operators/host_queries.cc
@@ -11,8 +11,8 @@
 constexpr std::chrono::seconds kHostTimeout{5};
 constexpr int kFirstFailureStatus = 300;
 
-HttpAnswer Ask(const HttpExchange& exchange, const HostAccess& access,
-               std::string_view method, std::string_view path) {
+HttpResponse Ask(const HttpExchange& exchange, const HostAccess& access,
+                 std::string_view method, std::string_view path) {
   HttpCall call;
   call.id = CallId{1};
   call.method = std::string(method);
@@ -24,7 +24,7 @@
   return exchange(call);
 }
 
-absl::Status StatusOf(const HttpAnswer& answer) {
+absl::Status StatusOf(const HttpResponse& answer) {
   if (answer.end != HttpEnd::kComplete) {
     return MakeStatus(ErrorCode::kUpstreamUnreachable, ToText(answer.end));
   }
@@ -40,15 +40,15 @@
 HostStatus QueryStatus(const HttpExchange& exchange, const HostAccess& access) {
   HostStatus status;
   status.address = access.address;
-  const HttpAnswer answer = Ask(exchange, access, "GET", "/v1/status");
+  const HttpResponse answer = Ask(exchange, access, "GET", "/v1/status");
   const absl::Status asked = StatusOf(answer);
   if (!asked.ok()) {
-    status.problem = absl::StrCat(asked.message());
+    status.error = absl::StrCat(asked.message());
     return status;
   }
   const auto json = nlohmann::json::parse(answer.body, nullptr, false);
   if (!json.is_object()) {
-    status.problem = "the answer is not readable";
+    status.error = "the answer is not readable";
     return status;
   }
   try {
@@ -57,16 +57,16 @@
     status.ready = json.value("ready", false);
     status.draining = json.value("draining", false);
     status.body = answer.body;
-    status.answered = true;
+    status.available = true;
   } catch (const nlohmann::json::exception&) {
-    status.problem = "the answer is not readable";
+    status.error = "the answer is not readable";
   }
   return status;
 }
 
 absl::StatusOr<std::string> QueryRequests(const HttpExchange& exchange,
                                           const HostAccess& access) {
-  const HttpAnswer answer = Ask(exchange, access, "GET", "/v1/requests");
+  const HttpResponse answer = Ask(exchange, access, "GET", "/v1/requests");
   const absl::Status asked = StatusOf(answer);
   if (!asked.ok()) {
     return asked;
@@ -74,8 +74,8 @@
   return answer.body;
 }
 
-absl::Status OrderDrain(const HttpExchange& exchange,
-                        const HostAccess& access) {
+absl::Status SendDrainRequest(const HttpExchange& exchange,
+                              const HostAccess& access) {
   return StatusOf(Ask(exchange, access, "POST", "/v1/drain"));
 }
 
--- a/src/operators/platform_access.cc
+++ b/src/operators/platform_access.cc
@@ -73,7 +73,7 @@
 }
 
 void PlatformAccess::Carry(const HttpCall& call) {
-  const HttpAnswer answer = this->exchange(call);
+  const HttpResponse answer = this->exchange(call);
   const Instant now = this->hooks.now();
   if (answer.status != 0) {
     this->client.OnHead(now, {call.id, answer.status, answer.headers});
--- a/src/placement/answers.cc
+++ b/src/placement/answers.cc
@@ -7,7 +7,7 @@
 namespace limpetlink {
 namespace {
 
-constexpr std::size_t kMaxAnswerBytes = 64UL * 1024UL;
+constexpr std::size_t kMaxResponseBytes = 64UL * 1024UL;
 constexpr Duration kWeightsPause = std::chrono::seconds(2);
 constexpr Duration kBackOffBase = std::chrono::seconds(2);
 constexpr std::uint32_t kMostDoublings = 6;
@@ -41,7 +41,7 @@
     return false;
   }
   std::string& body = found->second.body;
-  if (body.size() + chunk.bytes.size() <= kMaxAnswerBytes) {
+  if (body.size() + chunk.bytes.size() <= kMaxResponseBytes) {
     body += chunk.bytes;
   }
   return true;
--- a/src/placement/tests/placement_test.cc
+++ b/src/placement/tests/placement_test.cc
@@ -146,7 +146,7 @@
     }
   }
 
-  testing::FakePlatform::Answer Serve(const HttpCall& call) {
+  testing::FakePlatform::Response Serve(const HttpCall& call) {
     if (call.url.find("/v1/weights/") != std::string::npos) {
       ++this->weight_calls;
       return {this->weights_status, 0, ""};
@@ -160,8 +160,8 @@
                                  : Report(found->second);
   }
 
-  testing::FakePlatform::Answer TakeOrder(FakeEngine* engine,
-                                          const std::string& body) const {
+  testing::FakePlatform::Response TakeOrder(FakeEngine* engine,
+                                            const std::string& body) const {
     const Json order = Json::parse(body);
     const auto fence = order["fence"].get<std::uint64_t>();
     if (engine->checks && fence < engine->fence) {
@@ -175,7 +175,7 @@
     return {202, 0, ""};
   }
 
-  static testing::FakePlatform::Answer Report(const FakeEngine& engine) {
+  static testing::FakePlatform::Response Report(const FakeEngine& engine) {
     const bool loading = engine.loaded_at != kNever;
     const Json report = {{"model", "choros-model"},
                          {"version", engine.version},
--- a/tests/hosts/host_group.cc
+++ b/tests/hosts/host_group.cc
@@ -61,7 +61,7 @@
       this->options.seed * 1000003 + index * 101 + host.boots;
   MetadataStoreSettings platform;
   platform.url = "http://10.0.0.9:80";
-  platform.budget = ShareOfLimits({}, this->options.hosts);
+  platform.budget = CallBudgetPerHost({}, this->options.hosts);
   platform.seed = seed;
   host.client = std::make_unique<MetadataStoreClient>(
       platform, [this] { return CallId{++this->next_call}; });
@@ -216,7 +216,7 @@
     this->SendFrame(index, send->to, PeerKind::kMembership, send->bytes);
   } else if (const auto* live = std::get_if<LiveHostsChanged>(&action)) {
     host.configuration->OnHosts(this->now, live->live, live->neighbours);
-    host.client->SetBudget(this->now, ShareOfLimits({}, live->live.size()));
+    host.client->SetBudget(this->now, CallBudgetPerHost({}, live->live.size()));
     if (this->on_live) {
       this->on_live(index, *live);
     }
@@ -284,11 +284,11 @@
     this->AnswerCall(index, boots, call.id, {status, 0, ""});
     return;
   }
-  const FakePlatform::Answer answer = this->platform.Serve(call);
+  const FakePlatform::Response answer = this->platform.Serve(call);
   if (fate == CallFate::kHangs) {
     return;
   }
-  if (fate == CallFate::kAnswerLost) {
+  if (fate == CallFate::kResponseLost) {
     this->GiveEvent(index, HttpDone{call.id, HttpEnd::kCut});
     return;
   }
@@ -313,7 +313,7 @@
 }
 
 void HostGroup::AnswerCall(std::size_t index, std::uint64_t boots, CallId id,
-                           const FakePlatform::Answer& answer) {
+                           const FakePlatform::Response& answer) {
   if (!this->hosts[index].up || this->hosts[index].boots != boots) {
     return;
   }
@@ -347,7 +347,7 @@
   std::vector<Waiter> waiting;
   std::swap(waiting, this->waiters);
   for (Waiter& waiter : waiting) {
-    const FakePlatform::Answer answer = this->platform.Serve(waiter.call);
+    const FakePlatform::Response answer = this->platform.Serve(waiter.call);
     --this->platform.watches;  // the same call, not a new one
     if (answer.status == 0) {
       this->waiters.push_back(std::move(waiter));
--- a/tests/hosts/host_group.h
+++ b/tests/hosts/host_group.h
@@ -122,7 +122,7 @@
   void CarryCall(std::size_t index, const HttpCall& call);
   void ServeCall(std::size_t index, const HttpCall& call, CallFate fate);
   void AnswerCall(std::size_t index, std::uint64_t boots, CallId id,
-                  const FakePlatform::Answer& answer);
+                  const FakePlatform::Response& answer);
   void GiveEvent(std::size_t index, const Event& event);
   std::size_t IndexOf(const HostId& id) const;
   Duration Delay();
--- a/tests/scenario/real_fleet.cc
+++ b/tests/scenario/real_fleet.cc
@@ -316,7 +316,7 @@
   const bool must_be_ready = path == "/readyz";
   const auto deadline = SteadyClock::now() + kStartLimit;
   while (SteadyClock::now() < deadline) {
-    const HttpAnswer answer = ExchangeOverCurl(call);
+    const HttpResponse answer = ExchangeOverCurl(call);
     const bool answered = answer.end == HttpEnd::kComplete;
     if (answered && (!must_be_ready || answer.status == 200)) {
       return absl::OkStatus();
--- a/tests/scenario/real_fleet_faults.cc
+++ b/tests/scenario/real_fleet_faults.cc
@@ -173,7 +173,7 @@
   call.method = "GET";
   call.url = "http://" + member.Address() + path;
   call.total_timeout = std::chrono::seconds(1);
-  const HttpAnswer answer = ExchangeOverCurl(call);
+  const HttpResponse answer = ExchangeOverCurl(call);
   const Json body = Json::parse(answer.body, nullptr, false);
   return body.is_discarded() ? Json() : body;
 }
@@ -186,7 +186,7 @@
   call.url = "http://" + member.Address() + path;
   call.body = body.dump();
   call.total_timeout = std::chrono::seconds(2);
-  const HttpAnswer answer = ExchangeOverCurl(call);
+  const HttpResponse answer = ExchangeOverCurl(call);
   return answer.end == HttpEnd::kComplete && answer.status == 200;
 }
 
