--- a/src/metadata_store/client.cc
+++ b/src/metadata_store/client.cc
@@ -8,10 +8,10 @@
 namespace limpetlink {
 namespace {
 
-constexpr double kShareOfLimits = 0.8;   ///< the rest stays free
-constexpr std::size_t kFewestHosts = 6;  ///< fewer share as if they were 6
-constexpr double kLatencyWeight = 0.2;   ///< of the newest call in the mean
-constexpr Duration kSmallestWait = std::chrono::milliseconds(1);
+constexpr double kUsableFraction = 0.8;  ///< the rest is headroom
+constexpr std::size_t kMinHosts = 6;     ///< fewer are treated as 6
+constexpr double kLatencyWeight = 0.2;   ///< of a new sample in the average
+constexpr Duration kMinWait = std::chrono::milliseconds(1);
 
 bool IsWatch(StoreVerb verb) {
   return verb == StoreVerb::kWatch || verb == StoreVerb::kWatchKind;
@@ -36,30 +36,30 @@
 
 CallBudget CallBudgetPerHost(const StoreLimits& limits,
                              std::size_t live_hosts) {
-  const auto hosts = static_cast<double>(std::max(live_hosts, kFewestHosts));
+  const auto hosts = static_cast<double>(std::max(live_hosts, kMinHosts));
   CallBudget budget;
-  budget.reads_per_second = limits.reads_per_second * kShareOfLimits / hosts;
-  budget.writes_per_second = limits.writes_per_second * kShareOfLimits / hosts;
+  budget.reads_per_second = limits.reads_per_second * kUsableFraction / hosts;
+  budget.writes_per_second = limits.writes_per_second * kUsableFraction / hosts;
   budget.read_burst = std::max(12.0, budget.reads_per_second);
   budget.write_burst = std::max(8.0, budget.writes_per_second);
   return budget;
 }
 
-void MetadataStoreClient::Bucket::Refill(Instant now) {
-  const double gained = ToSeconds(now - this->at) * this->rate;
+void MetadataStoreClient::TokenBucket::Refill(Instant now) {
+  const double gained = ToSeconds(now - this->refilled_at) * this->rate;
   this->tokens = std::min(this->burst, this->tokens + gained);
-  this->at = now;
+  this->refilled_at = now;
 }
 
-Instant MetadataStoreClient::Bucket::ReadyAt() const {
+Instant MetadataStoreClient::TokenBucket::ReadyAt() const {
   if (this->tokens >= 1.0) {
-    return this->at;
+    return this->refilled_at;
   }
   if (this->rate <= 0.0) {
     return kNever;
   }
   const Duration wait = FromSeconds((1.0 - this->tokens) / this->rate);
-  return this->at + wait + kSmallestWait;
+  return this->refilled_at + wait + kMinWait;
 }
 
 MetadataStoreClient::MetadataStoreClient(MetadataStoreSettings settings,
@@ -150,7 +150,7 @@
   pending.deadline =
       now + this->settings.operation_timeout + pending.request.wait;
   this->pending.emplace(op, std::move(pending));
-  this->Pump(now);
+  this->StartReadyCalls(now);
   return StoreOp{op};
 }
 
@@ -161,18 +161,19 @@
   }
   if (found->second.call.value != 0) {
     this->actions.emplace_back(HttpCancel{found->second.call});
-    this->op_of_call.erase(found->second.call.value);
+    this->op_by_call.erase(found->second.call.value);
   }
   this->pending.erase(found);
 }
 
-MetadataStoreClient::Bucket* MetadataStoreClient::BucketOf(StoreVerb verb) {
+MetadataStoreClient::TokenBucket* MetadataStoreClient::BucketFor(
+    StoreVerb verb) {
   return IsWrite(verb) ? &this->writes : &this->reads;
 }
 
 std::uint32_t MetadataStoreClient::InFlight(bool watches) const {
   std::uint32_t count = 0;
-  for (const auto& [call, op] : this->op_of_call) {
+  for (const auto& [call, op] : this->op_by_call) {
     const StoreVerb verb = this->pending.at(op).result.verb;
     const bool is_watch = IsWatch(verb);
     count += is_watch == watches ? 1U : 0U;
@@ -180,7 +181,7 @@
   return count;
 }
 
-void MetadataStoreClient::Pump(Instant now) {
+void MetadataStoreClient::StartReadyCalls(Instant now) {
   this->reads.Refill(now);
   this->writes.Refill(now);
   for (auto& [op, pending] : this->pending) {
@@ -188,18 +189,18 @@
       this->TryStart(now, op, &pending);
     }
   }
-  this->EndQueuedInOutage(now);
+  this->FailQueuedDuringOutage(now);
 }
 
 bool MetadataStoreClient::TryStart(Instant now, std::uint64_t op,
                                    Pending* pending) {
   const bool is_watch = IsWatch(pending->result.verb);
-  const std::uint32_t most =
+  const std::uint32_t max_calls =
       is_watch ? this->settings.max_watches : this->settings.max_in_flight;
-  Bucket* bucket = this->BucketOf(pending->result.verb);
+  TokenBucket* bucket = this->BucketFor(pending->result.verb);
   const bool outage = this->health.mode == StoreMode::kOutage;
   const bool blocked = now < this->throttled_until || bucket->tokens < 1.0 ||
-                       this->InFlight(is_watch) >= most ||
+                       this->InFlight(is_watch) >= max_calls ||
                        (outage && now < this->next_probe);
   if (blocked) {
     return false;
@@ -228,9 +229,9 @@
   pending->call = this->next_call_id();
   pending->started = now;
   pending->call_deadline = now + limit;
-  pending->answer = {};
+  pending->response = {};
   ++pending->attempts;
-  this->op_of_call[pending->call.value] = op;
+  this->op_by_call[pending->call.value] = op;
   HttpCall call;
   call.id = pending->call;
   call.method = MethodOf(verb);
@@ -243,109 +244,109 @@
 }
 
 bool MetadataStoreClient::OnHead(Instant /*now*/, const HttpHead& head) {
-  const auto found = this->op_of_call.find(head.id.value);
-  if (found == this->op_of_call.end()) {
+  const auto found = this->op_by_call.find(head.id.value);
+  if (found == this->op_by_call.end()) {
     return false;
   }
   Pending& pending = this->pending.at(found->second);
-  pending.answer.status = head.status;
-  pending.answer.headers = head.headers;
+  pending.response.status = head.status;
+  pending.response.headers = head.headers;
   return true;
 }
 
 bool MetadataStoreClient::OnChunk(Instant /*now*/, const HttpChunk& chunk) {
-  const auto found = this->op_of_call.find(chunk.id.value);
-  if (found == this->op_of_call.end()) {
+  const auto found = this->op_by_call.find(chunk.id.value);
+  if (found == this->op_by_call.end()) {
     return false;
   }
-  this->pending.at(found->second).answer.body += chunk.bytes;
+  this->pending.at(found->second).response.body += chunk.bytes;
   return true;
 }
 
 bool MetadataStoreClient::OnDone(Instant now, const HttpDone& done) {
-  const auto found = this->op_of_call.find(done.id.value);
-  if (found == this->op_of_call.end()) {
+  const auto found = this->op_by_call.find(done.id.value);
+  if (found == this->op_by_call.end()) {
     return false;
   }
   this->FinishCall(now, found->second, done.end);
-  this->Pump(now);
+  this->StartReadyCalls(now);
   return true;
 }
 
 void MetadataStoreClient::FinishCall(Instant now, std::uint64_t op,
                                      HttpEnd end) {
   Pending& pending = this->pending.at(op);
-  this->op_of_call.erase(pending.call.value);
+  this->op_by_call.erase(pending.call.value);
   pending.call = CallId{};
   pending.call_deadline = kNever;
-  if (end == HttpEnd::kComplete && pending.answer.status != 0) {
-    this->HandleAnswer(now, op, &pending);
+  if (end == HttpEnd::kComplete && pending.response.status != 0) {
+    this->HandleResponse(now, op, &pending);
   } else {
-    this->HandleNoAnswer(now, op, end);
+    this->HandleCallFailure(now, op, end);
   }
 }
 
-void MetadataStoreClient::HandleNoAnswer(Instant now, std::uint64_t op,
-                                         HttpEnd end) {
-  this->NoteFailure(now);
+void MetadataStoreClient::HandleCallFailure(Instant now, std::uint64_t op,
+                                            HttpEnd end) {
+  this->RecordFailure(now);
   const Pending& pending = this->pending.at(op);
   const bool may_have_run =
       IsWrite(pending.result.verb) && end != HttpEnd::kNotConnected;
   if (may_have_run) {
-    this->End(op, StoreStatus::kUnknown, Duration{0});
+    this->Complete(op, StoreStatus::kUnknown, Duration{0});
     return;
   }
   this->RetryOrEnd(now, op, StoreStatus::kUnavailable, Duration{0});
 }
 
-void MetadataStoreClient::HandleAnswer(Instant now, std::uint64_t op,
-                                       Pending* pending) {
+void MetadataStoreClient::HandleResponse(Instant now, std::uint64_t op,
+                                         Pending* pending) {
   StoreResult& result = pending->result;
-  const int status = pending->answer.status;
+  const int status = pending->response.status;
   const Duration wait =
-      ReadRetryAfter(pending->answer.headers).value_or(Duration{0});
+      ReadRetryAfter(pending->response.headers).value_or(Duration{0});
   if (status == 429) {
     ++this->counters.throttled;
-    this->NoteAnswered(now, *pending);
-    const Duration least = this->Backoff(pending->attempts);
+    this->RecordResponse(now, *pending);
+    const Duration min_backoff = this->Backoff(pending->attempts);
     this->throttled_until =
-        std::max(this->throttled_until, now + std::max(wait, least));
+        std::max(this->throttled_until, now + std::max(wait, min_backoff));
     this->RetryOrEnd(now, op, StoreStatus::kThrottled, wait);
     return;
   }
   if (status >= 500) {
-    this->NoteFailure(now);
+    this->RecordFailure(now);
     const bool may_have_run = IsWrite(result.verb) && status != 503;
     if (may_have_run) {
-      this->End(op, StoreStatus::kUnknown, Duration{0});
+      this->Complete(op, StoreStatus::kUnknown, Duration{0});
     } else {
       this->RetryOrEnd(now, op, StoreStatus::kUnavailable, wait);
     }
     return;
   }
-  this->NoteAnswered(now, *pending);
+  this->RecordResponse(now, *pending);
   result.sent_at = pending->started;
   const StoreStatus read =
-      this->settings.dialect.read(result.verb, &pending->answer, &result);
-  this->End(op, read, Duration{0});
+      this->settings.dialect.read(result.verb, &pending->response, &result);
+  this->Complete(op, read, Duration{0});
 }
 
 void MetadataStoreClient::RetryOrEnd(Instant now, std::uint64_t op,
                                      StoreStatus status, Duration wait) {
   Pending& pending = this->pending.at(op);
   const Duration backoff = std::max(wait, this->Backoff(pending.attempts));
-  const bool never_again = IsWatch(pending.result.verb) ||
-                           this->health.mode == StoreMode::kOutage ||
-                           now + backoff >= pending.deadline;
-  if (never_again) {
-    this->End(op, status, backoff);
+  const bool no_retry = IsWatch(pending.result.verb) ||
+                        this->health.mode == StoreMode::kOutage ||
+                        now + backoff >= pending.deadline;
+  if (no_retry) {
+    this->Complete(op, status, backoff);
     return;
   }
   pending.not_before = now + backoff;
 }
 
-void MetadataStoreClient::End(std::uint64_t op, StoreStatus status,
-                              Duration retry_after) {
+void MetadataStoreClient::Complete(std::uint64_t op, StoreStatus status,
+                                   Duration retry_after) {
   const auto found = this->pending.find(op);
   found->second.result.status = status;
   found->second.result.retry_after = retry_after;
@@ -353,20 +354,20 @@
   this->pending.erase(found);
 }
 
-void MetadataStoreClient::NoteAnswered(Instant now, const Pending& pending) {
+void MetadataStoreClient::RecordResponse(Instant now, const Pending& pending) {
   this->health.has_responded = true;
   this->health.last_response = now;
   this->health.consecutive_failures = 0;
   if (!IsWatch(pending.result.verb)) {
-    const Duration latest = now - pending.started;
-    const Duration difference = latest - this->health.latency;
+    const Duration latency = now - pending.started;
+    const Duration difference = latency - this->health.latency;
     this->health.latency += FromSeconds(ToSeconds(difference) * kLatencyWeight);
   }
   const bool slow = this->health.latency > this->settings.slow_latency;
   this->health.mode = slow ? StoreMode::kSlow : StoreMode::kNormal;
 }
 
-void MetadataStoreClient::NoteFailure(Instant now) {
+void MetadataStoreClient::RecordFailure(Instant now) {
   ++this->counters.failures;
   ++this->health.consecutive_failures;
   if (this->health.consecutive_failures < this->settings.outage_threshold) {
@@ -377,15 +378,15 @@
 }
 
 Duration MetadataStoreClient::Backoff(std::uint32_t attempts) {
-  constexpr std::uint32_t kMostDoublings = 16;
-  const std::uint32_t doublings = std::min(attempts, kMostDoublings);
+  constexpr std::uint32_t kMaxDoublings = 16;
+  const std::uint32_t doublings = std::min(attempts, kMaxDoublings);
   const double full = ToSeconds(this->settings.backoff_base) *
                       std::pow(2.0, static_cast<double>(doublings));
   const double capped = std::min(full, ToSeconds(this->settings.backoff_cap));
   return FromSeconds(capped * (0.5 + 0.5 * this->random.Fraction()));
 }
 
-void MetadataStoreClient::EndQueuedInOutage(Instant now) {
+void MetadataStoreClient::FailQueuedDuringOutage(Instant now) {
   if (this->health.mode != StoreMode::kOutage) {
     return;
   }
@@ -395,13 +396,13 @@
       queued.push_back(op);
     }
   }
-  const Duration wait = std::max(kSmallestWait, this->next_probe - now);
+  const Duration wait = std::max(kMinWait, this->next_probe - now);
   for (const std::uint64_t op : queued) {
-    this->End(op, StoreStatus::kUnavailable, wait);
+    this->Complete(op, StoreStatus::kUnavailable, wait);
   }
 }
 
-void MetadataStoreClient::ExpireAt(Instant now) {
+void MetadataStoreClient::ExpireTimedOut(Instant now) {
   std::vector<std::uint64_t> calls;
   std::vector<std::uint64_t> queued;
   for (const auto& [op, pending] : this->pending) {
@@ -417,13 +418,13 @@
   }
   for (const std::uint64_t op : queued) {
     ++this->counters.rejected_by_budget;
-    this->End(op, StoreStatus::kThrottled, this->settings.backoff_base);
+    this->Complete(op, StoreStatus::kThrottled, this->settings.backoff_base);
   }
 }
 
 void MetadataStoreClient::Tick(Instant now) {
-  this->ExpireAt(now);
-  this->Pump(now);
+  this->ExpireTimedOut(now);
+  this->StartReadyCalls(now);
 }
 
 Instant MetadataStoreClient::NextWakeup() const {
@@ -433,7 +434,7 @@
       next = std::min(next, pending.call_deadline);
       continue;
     }
-    const Bucket& bucket =
+    const TokenBucket& bucket =
         IsWrite(pending.result.verb) ? this->writes : this->reads;
     const Instant ready =
         std::max({pending.not_before, this->throttled_until, bucket.ReadyAt()});
--- a/src/metadata_store/detail/dialect.h
+++ b/src/metadata_store/detail/dialect.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief How operations stand on the wire of one kind of metadata store.
+/// @brief Mapping of operations to the wire protocol of a metadata store.
 #pragma once
 
 #include <cstdint>
@@ -11,34 +11,34 @@
 
 namespace limpetlink {
 
-/// @brief What one operation asks for.
+/// @brief Parameters of one operation.
 struct StoreRequest {
   StoreVerb verb = StoreVerb::kGet;
-  ObjectKey key{};            ///< name is a prefix for kList, empty for a kind
-  std::string after{};        ///< list: only names above this one
-  std::uint32_t limit = 0;    ///< kList: most rows wanted
-  std::uint64_t version = 0;  ///< watch: changes above this version or revision
-  bool allow_stale = false;   ///< cheaper; the answer may be seconds old
+  ObjectKey key{};            ///< name: prefix for kList, empty for kinds
+  std::string after{};        ///< list: exclusive lower bound of names
+  std::uint32_t limit = 0;    ///< kList: maximum number of rows
+  std::uint64_t version = 0;  ///< watch: last known version or revision
+  bool allow_stale = false;   ///< accepts a response seconds old; cheaper
   Duration wait{0};           ///< watch: how long the store may hold the call
 };
 
-/// @brief A whole answer of the store.
+/// @brief A complete response of the store.
 struct StoreResponse {
   int status = 0;
   Headers headers;
   std::string body;
 };
 
-/// @brief The hooks that know a store's paths and bodies.
+/// @brief Hooks that encode and decode a store's protocol.
 struct StoreDialect {
-  /// Path and query of an operation, beginning with a slash.
+  /// Returns the path and query of an operation, starting with a slash.
   std::function<std::string(const StoreRequest&)> target;
-  /// Reads an answer other than 429 and 5xx into the result; the answer's body
-  /// may be moved away.
+  /// Decodes a response other than 429 and 5xx into the result; may move the
+  /// response's body.
   std::function<StoreStatus(StoreVerb, StoreResponse*, StoreResult*)> read;
 };
 
-/// @brief The dialect of limpetlink's own object API.
+/// @brief Returns the dialect of limpetlink's own object API.
 StoreDialect ObjectApiDialect();
 
 }  // namespace limpetlink
--- a/src/metadata_store/detail/read_back.h
+++ b/src/metadata_store/detail/read_back.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Deciding what became of a conditional write whose answer was lost.
+/// @brief Resolution of conditional writes whose response was lost.
 #pragma once
 
 #include <functional>
@@ -9,15 +9,16 @@
 
 namespace limpetlink {
 
-/// @brief What a read says of an earlier conditional write.
+/// @brief Outcome of an earlier conditional write, inferred from a read.
 enum class WriteOutcome {
   kApplied,     ///< the write is the object's current version
-  kNotApplied,  ///< another write took its version: it can never take effect
-  kRetry,       ///< the object is still at the base version; the lost write may
-           ///< yet arrive, so repeat the same bytes with the same condition:
-           ///< at most one of both takes effect
-  kUndetermined,  ///< later versions stand above it; only a history can tell
-  kReadFailed,    ///< the read itself had no answer
+  kNotApplied,  ///< another write created its version; it can never apply
+  /// The object is still at the base version and the lost write may yet arrive.
+  /// Retry the same bytes with the same condition: at most one of the two
+  /// writes takes effect.
+  kRetry,
+  kUndetermined,  ///< later versions exist; only a history can decide
+  kReadFailed,    ///< the read itself failed
 };
 
 template <>
@@ -30,24 +31,24 @@
       {WriteOutcome::kReadFailed, "no_answer"}};
 };
 
-/// @brief Says whether an object's bytes were written by the change in
-/// question.
+/// @brief Returns whether the write in question produced these bytes.
 using IsOwnWrite = std::function<bool(std::string_view bytes)>;
 
-/// @brief Resolves a lost answer by reading the object back.
+/// @brief Infers the outcome of a write whose response was lost from a read.
 /// @param condition the write's condition (kAbsent or kVersion); the base
 /// version is 0 for kAbsent
-/// @param read the result of a get of the same object, begun after the answer
-/// was lost
-/// @param is_own looks for the change id or nonce inside the bytes
-/// @return the verdict
-/// @note Relies on versions that rise by one with each write and on the object
-/// never being deleted.
+/// @param read the result of a get of the same object, started after the
+/// response was lost
+/// @param is_own finds the change id or nonce in the bytes
+/// @return the outcome
+/// @note Requires that each write increments the version by one and that the
+/// object is never deleted.
 /// @note Example:
 /// @code
-/// if (result.status == StoreStatus::kUnknown) { op = client.Get(now, key);
+/// if (result.status == StoreStatus::kUnknown) {
+///   op = client.Get(now, key);
 /// }
-/// // later, with the answer of that get:
+/// // later, with the result of that get:
 /// switch (ResolveByReadBack(condition, read, is_own)) { ... }
 /// @endcode
 WriteOutcome ResolveByReadBack(const WriteCondition& condition,
--- a/src/metadata_store/detail/types.h
+++ b/src/metadata_store/detail/types.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What is asked of the platform and what it answered.
+/// @brief Operations on the platform's objects and their results.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,16 @@
 
 namespace limpetlink {
 
-/// @brief An operation of one MetadataStoreClient.
+/// @brief Identifies an operation of one MetadataStoreClient.
 using StoreOp = NumberId<struct StoreOpTag>;
 
-/// @brief Names an object.
+/// @brief Identifies an object.
 struct ObjectKey {
   std::string kind;
-  std::string name;  ///< may hold '/'
+  std::string name;  ///< may contain '/'
 };
 
-/// @brief What an operation does.
+/// @brief Type of an operation.
 enum class StoreVerb {
   kGet,
   kPut,
@@ -44,17 +44,17 @@
       {StoreVerb::kWatchKind, "watch_kind"}};
 };
 
-/// @brief How an operation ended.
+/// @brief Outcome of an operation.
 enum class StoreStatus {
-  kOk,           ///< done; version and bytes are set where they apply
-  kAbsent,       ///< there is no such object
+  kOk,           ///< succeeded; version and bytes are set where they apply
+  kAbsent,       ///< the object does not exist
   kConflict,     ///< the write's condition failed; version is the current one
-  kUnchanged,    ///< the watch passed without a newer version
-  kThrottled,    ///< refused for the rate, by the platform or by this host's
-                 ///< own budget; it did not run
-  kUnavailable,  ///< it did not run, or was a read without an answer
-  kUnknown,      ///< a write whose answer was lost: it may yet take effect
-  kRefused,      ///< the platform says that the call is wrong; it did not run
+  kUnchanged,    ///< the watch ended without a newer version
+  kThrottled,    ///< rejected by the platform's rate limit or by this host's
+                 ///< call budget; it did not run
+  kUnavailable,  ///< it did not run, or was a read without a response
+  kUnknown,      ///< a write whose response was lost; it may still apply
+  kRefused,      ///< the platform rejected the call as invalid; it did not run
   kHistoryGone,  ///< the store no longer holds the changes since the watched
                  ///< revision
 };
@@ -73,37 +73,37 @@
       {StoreStatus::kHistoryGone, "history_gone"}};
 };
 
-/// @brief What must hold for a write to take effect.
+/// @brief Type of a write's precondition.
 enum class WriteConditionKind { kAlways, kAbsent, kVersion };
 
-/// @brief The condition of a write.
+/// @brief Precondition for a write to take effect.
 struct WriteCondition {
-  WriteConditionKind when = WriteConditionKind::kAlways;
+  WriteConditionKind kind = WriteConditionKind::kAlways;
   std::uint64_t version = 0;  ///< for kVersion
 
-  /// @return a condition that holds when the object does not exist
+  /// @return a condition that requires that the object does not exist
   static WriteCondition IfAbsent() { return {WriteConditionKind::kAbsent, 0}; }
-  /// @return a condition that holds at exactly this version
+  /// @return a condition that requires exactly this version
   static WriteCondition IfVersion(std::uint64_t version) {
     return {WriteConditionKind::kVersion, version};
   }
 };
 
-/// @brief One row of a listing.
+/// @brief One row of an object listing.
 struct ObjectEntry {
   std::string name;
   std::uint64_t version = 0;
 };
 
-/// @brief An object of a kind, or the news that it was removed.
+/// @brief An object with its contents, or a deletion marker.
 struct ObjectRecord {
   std::string name;
-  std::uint64_t version = 0;  ///< revision of its last change
+  std::uint64_t version = 0;  ///< revision of the last change
   bool deleted = false;
-  std::string bytes;  ///< what its writer stored, as JSON text
+  std::string bytes;  ///< the stored contents, as JSON text
 };
 
-/// @brief What a listed host is for.
+/// @brief Role of a listed host.
 enum class ListedRole { kEntry, kUpstream };
 
 template <>
@@ -112,7 +112,7 @@
       {ListedRole::kEntry, "entry"}, {ListedRole::kUpstream, "upstream"}};
 };
 
-/// @brief One row of the platform's host list, which lags.
+/// @brief One row of the platform's host list, which may be out of date.
 struct ListedHost {
   std::string id;
   std::string address;  ///< "ip:port"
@@ -120,7 +120,7 @@
   bool leaving = false;
 };
 
-/// @brief An operation's one answer.
+/// @brief Result of an operation.
 struct StoreResult {
   StoreOp op;
   StoreVerb verb = StoreVerb::kGet;
@@ -132,17 +132,18 @@
   std::vector<ListedHost> hosts;      ///< for hosts
   std::vector<ObjectRecord> records;  ///< for list_records and watch_kind
   std::uint64_t revision = 0;  ///< of the store, for list_records, watch_kind
-  bool truncated = false;      ///< list_records: more follow the last record
-  Instant sent_at{};  ///< when the answered call left; what the answer says
-                      ///< held at that time or later
-  Duration retry_after{0};  ///< when to ask again, for kThrottled/kUnavailable
+  bool truncated = false;      ///< list_records: more records follow the last
+  Instant sent_at{};  ///< when the successful call was sent; the response
+                      ///< reflects the state at that time or later
+  Duration retry_after{
+      0};  ///< delay before a retry, for kThrottled/kUnavailable
 };
 
-/// @brief How the platform does, as seen by this host.
+/// @brief State of the platform as observed by this host.
 enum class StoreMode {
   kNormal,
-  kSlow,    ///< it answers, but takes long
-  kOutage,  ///< several calls in a row had no answer; one call at a time probes
+  kSlow,    ///< responds, but with high latency
+  kOutage,  ///< several consecutive calls failed; one probe at a time
 };
 
 template <>
@@ -153,24 +154,24 @@
       {StoreMode::kOutage, "outage"}};
 };
 
-/// @brief What is known of the platform; lets a caller judge how old its
-/// knowledge may be.
+/// @brief Observed health of the platform, including how long ago it last
+/// responded.
 struct StoreHealth {
   StoreMode mode = StoreMode::kNormal;
   bool has_responded = false;
-  Instant last_response{};  ///< of the last call that was answered
-  Duration latency{0};      ///< moving mean of answered calls, without watches
+  Instant last_response{};  ///< time of the last response
+  Duration latency{0};      ///< moving average of responses, without watches
   std::uint32_t consecutive_failures = 0;
 
-  /// @return how long ago the platform last answered; Duration::max() when
-  /// never
+  /// @return the time since the platform's last response; Duration::max() if
+  /// there was none
   Duration Staleness(Instant now) const {
     return this->has_responded ? now - this->last_response : Duration::max();
   }
 };
 
-/// @brief Calls that one host may make; a waiting watch counts as a call each
-/// time it is opened.
+/// @brief Call rates allowed to one host. A watch counts as one read each time
+/// it is opened.
 struct CallBudget {
   double reads_per_second = 3.0;
   double read_burst = 12.0;
@@ -178,27 +179,28 @@
   double write_burst = 8.0;
 };
 
-/// @brief The platform's limits on the sum of calls.
+/// @brief The platform's limits on the total call rate of all hosts.
 struct StoreLimits {
   double reads_per_second = 2000.0;
   double writes_per_second = 300.0;
 };
 
-/// @brief Splits the platform's limits over the live hosts, keeping a part
-/// free.
-/// @param limits of the platform
-/// @param live_hosts how many hosts share them; fewer than 6 counts as 6
-/// @return one host's budget; the sum of all hosts' stays at 80% of the limits
+/// @brief Divides the platform's limits among the live hosts, with headroom.
+/// @param limits the platform's limits
+/// @param live_hosts number of hosts that share them; fewer than 6 count as 6
+/// @return one host's budget; the rates of all hosts add up to at most 80% of
+/// the limits
 CallBudget CallBudgetPerHost(const StoreLimits& limits, std::size_t live_hosts);
 
-/// @brief Calls counted since the client was made.
+/// @brief Call counters since the client was constructed.
 struct StoreCounters {
-  std::uint64_t reads = 0;               ///< calls sent: get, list, hosts
-  std::uint64_t watches = 0;             ///< calls sent: watch
-  std::uint64_t writes = 0;              ///< calls sent: put, delete
-  std::uint64_t throttled = 0;           ///< answers 429
-  std::uint64_t failures = 0;            ///< no answer, or 5xx
-  std::uint64_t rejected_by_budget = 0;  ///< ended without a call
+  std::uint64_t reads = 0;      ///< calls sent: get, list, hosts
+  std::uint64_t watches = 0;    ///< calls sent: watch
+  std::uint64_t writes = 0;     ///< calls sent: put, delete
+  std::uint64_t throttled = 0;  ///< responses 429
+  std::uint64_t failures = 0;   ///< no response, or 5xx
+  std::uint64_t rejected_by_budget =
+      0;  ///< operations that expired while queued
 };
 
 }  // namespace limpetlink
--- a/src/metadata_store/encode.cc
+++ b/src/metadata_store/encode.cc
@@ -34,7 +34,7 @@
   return is_text ? found->get<std::string>() : std::string();
 }
 
-/// @brief Finds the array of rows in an answer; nullptr when malformed.
+/// @brief Returns the array of rows in a response; nullptr when malformed.
 const Json* FindRows(const Json& document, const char* member) {
   if (!document.is_object()) {
     return nullptr;
@@ -69,7 +69,7 @@
 }
 
 void AddCondition(const WriteCondition& condition, Headers* headers) {
-  switch (condition.when) {
+  switch (condition.kind) {
     case WriteConditionKind::kAlways:
       return;
     case WriteConditionKind::kAbsent:
@@ -145,7 +145,7 @@
 
 namespace {
 
-std::string OwnTarget(const StoreRequest& request) {
+std::string ObjectApiTarget(const StoreRequest& request) {
   const auto milliseconds =
       std::chrono::duration_cast<std::chrono::milliseconds>(request.wait);
   switch (request.verb) {
@@ -165,30 +165,30 @@
   }
 }
 
-StoreStatus ReadOwnAnswer(StoreVerb verb, StoreResponse* answer,
-                          StoreResult* result) {
-  const auto version = ReadVersion(answer->headers);
+StoreStatus ReadObjectApiResponse(StoreVerb verb, StoreResponse* response,
+                                  StoreResult* result) {
+  const auto version = ReadVersion(response->headers);
   result->version = version.value_or(0);
-  if (answer->status == 404) {
+  if (response->status == 404) {
     return StoreStatus::kAbsent;
   }
-  if (answer->status == 412) {
+  if (response->status == 412) {
     return StoreStatus::kConflict;
   }
-  if (answer->status == 204 && verb == StoreVerb::kWatch) {
+  if (response->status == 204 && verb == StoreVerb::kWatch) {
     return StoreStatus::kUnchanged;
   }
-  if (answer->status < 200 || answer->status >= 300) {
+  if (response->status < 200 || response->status >= 300) {
     return StoreStatus::kRefused;
   }
   bool well_formed = true;
   if (verb == StoreVerb::kList) {
-    well_formed = ReadObjects(answer->body, &result->objects);
+    well_formed = ReadObjects(response->body, &result->objects);
   } else if (verb == StoreVerb::kHosts) {
-    well_formed = ReadHosts(answer->body, &result->hosts);
+    well_formed = ReadHosts(response->body, &result->hosts);
   } else if (verb != StoreVerb::kDelete) {
     well_formed = version.has_value();
-    result->bytes = std::move(answer->body);
+    result->bytes = std::move(response->body);
   }
   if (well_formed) {
     return StoreStatus::kOk;
@@ -199,6 +199,8 @@
 
 }  // namespace
 
-StoreDialect ObjectApiDialect() { return {OwnTarget, ReadOwnAnswer}; }
+StoreDialect ObjectApiDialect() {
+  return {ObjectApiTarget, ReadObjectApiResponse};
+}
 
 }  // namespace limpetlink
--- a/src/metadata_store/metadata_store.h
+++ b/src/metadata_store/metadata_store.h
@@ -1,7 +1,6 @@
 /// @file
-/// @brief The client of the platform's object API: versions, conditional
-/// writes, watches, the host
-///        list, a budget of calls and what is known of the platform's health.
+/// @brief Client of the platform's object API: versioned reads, conditional
+/// writes, watches, the host list, a call budget and health tracking.
 #pragma once
 
 #include "metadata_store/detail/client.h"
--- a/src/metadata_store/read_back.cc
+++ b/src/metadata_store/read_back.cc
@@ -6,7 +6,7 @@
                                const StoreResult& read,
                                const IsOwnWrite& is_own) {
   const std::uint64_t base =
-      condition.when == WriteConditionKind::kVersion ? condition.version : 0;
+      condition.kind == WriteConditionKind::kVersion ? condition.version : 0;
   if (read.status == StoreStatus::kAbsent) {
     return base == 0 ? WriteOutcome::kRetry : WriteOutcome::kNotApplied;
   }
--- a/src/metadata_store/tests/client_test.cc
+++ b/src/metadata_store/tests/client_test.cc
@@ -25,9 +25,9 @@
     return calls;
   }
 
-  void Answer(const HttpCall& call,
-              const testing::FakePlatform::Response& said) {
-    for (const Event& event : testing::ToEvents(call.id, said)) {
+  void Respond(const HttpCall& call,
+               const testing::FakePlatform::Response& response) {
+    for (const Event& event : testing::ToEvents(call.id, response)) {
       if (const auto* head = std::get_if<HttpHead>(&event)) {
         REQUIRE(this->client.OnHead(this->now, *head));
       } else if (const auto* chunk = std::get_if<HttpChunk>(&event)) {
@@ -38,14 +38,14 @@
     }
   }
 
-  StoreResult Only() {
+  StoreResult SingleResult() {
     const auto results = this->client.TakeResults();
     REQUIRE(results.size() == 1);
     return results.front();
   }
 
-  /// @brief Lets time pass from wakeup to wakeup, answering no call.
-  void Pass(Duration span) {
+  /// @brief Advances the clock from wakeup to wakeup without responses.
+  void AdvanceTime(Duration span) {
     const Instant end = this->now + span;
     while (this->client.NextWakeup() <= end) {
       this->now = std::max(this->now, this->client.NextWakeup());
@@ -60,46 +60,46 @@
 };
 
 TEST_CASE_METHOD(ClientFixture,
-                 "platform client, write whose answer is lost, ends as unknown "
-                 "and is not sent again") {
+                 "platform client, write with a lost response, ends as unknown "
+                 "and is not retried") {
   this->client.Put(this->now, {"fleet", "a/b"}, "x",
                    WriteCondition::IfVersion(3));
   const auto calls = this->Calls();
   REQUIRE(calls.size() == 1);
   CHECK(calls[0].url == "http://10.0.0.1:80/v1/objects/fleet/a%2Fb");
   CHECK(*FindHeader(calls[0].headers, "If-Match") == "\"3\"");
-  SECTION("cut") {
+  SECTION("connection lost") {
     this->client.OnDone(this->now, {calls[0].id, HttpEnd::kCut});
   }
-  SECTION("no end ever comes") { this->Pass(seconds(6)); }
-  SECTION("an error of a gateway") { this->Answer(calls[0], {502, 0, ""}); }
-  CHECK(this->Only().status == StoreStatus::kUnknown);
+  SECTION("no response arrives") { this->AdvanceTime(seconds(6)); }
+  SECTION("gateway error") { this->Respond(calls[0], {502, 0, ""}); }
+  CHECK(this->SingleResult().status == StoreStatus::kUnknown);
   CHECK(this->Calls().empty());
 }
 
 TEST_CASE_METHOD(ClientFixture,
-                 "platform client, write that surely did not run, is sent "
-                 "again within its time limit") {
+                 "platform client, write that is known not to have run, is "
+                 "retried within its time limit") {
   this->client.Put(this->now, {"fleet", "a"}, "x", WriteCondition::IfAbsent());
   const auto first = this->Calls();
   REQUIRE(first.size() == 1);
   SECTION("no connection") {
     this->client.OnDone(this->now, {first[0].id, HttpEnd::kNotConnected});
   }
-  SECTION("throttled") { this->Answer(first[0], {429, 0, ""}); }
-  SECTION("outage") { this->Answer(first[0], {503, 0, ""}); }
-  this->Pass(milliseconds(1500));
+  SECTION("throttled") { this->Respond(first[0], {429, 0, ""}); }
+  SECTION("outage") { this->Respond(first[0], {503, 0, ""}); }
+  this->AdvanceTime(milliseconds(1500));
   const auto second = this->Calls();
   REQUIRE(second.size() == 1);
-  this->Answer(second[0], {201, 1, ""});
-  const StoreResult result = this->Only();
+  this->Respond(second[0], {201, 1, ""});
+  const StoreResult result = this->SingleResult();
   CHECK(result.status == StoreStatus::kOk);
   CHECK(result.version == 1);
 }
 
 TEST_CASE_METHOD(ClientFixture,
-                 "platform client, calls beyond the budget, wait and end as "
-                 "throttled with no call made") {
+                 "platform client, calls beyond the budget, are queued and end "
+                 "as throttled without being sent") {
   for (int i = 0; i < 60; ++i) {
     this->client.Get(this->now, {"fleet", std::to_string(i)});
   }
@@ -109,21 +109,21 @@
   while (this->now < end) {
     for (const HttpCall& call : this->Calls()) {
       ++sent;
-      this->Answer(call, {404, 0, ""});
+      this->Respond(call, {404, 0, ""});
     }
-    this->Pass(milliseconds(50));
+    this->AdvanceTime(milliseconds(50));
     for (const StoreResult& result : this->client.TakeResults()) {
       throttled += result.status == StoreStatus::kThrottled ? 1 : 0;
     }
   }
-  CHECK(sent <= 12 + 5 * 3);  // burst, then three a second for five seconds
+  CHECK(sent <= 12 + 5 * 3);  // burst, then 3 per second for 5 s
   CHECK(sent >= 25);
   CHECK(sent + throttled == 60);
 }
 
 TEST_CASE_METHOD(ClientFixture,
-                 "platform client, outage, every operation ends at once but "
-                 "the one that probes") {
+                 "platform client, outage, every operation fails immediately "
+                 "except for one probe") {
   for (int i = 0; i < 4; ++i) {
     this->client.Watch(this->now, {"fleet", "a"}, 1, seconds(5));
     for (const HttpCall& call : this->Calls()) {
@@ -134,27 +134,27 @@
   REQUIRE(this->client.Health().mode == StoreMode::kOutage);
   this->client.Get(this->now, {"fleet", "a"});
   CHECK(this->Calls().empty());
-  const StoreResult refused = this->Only();
-  CHECK(refused.status == StoreStatus::kUnavailable);
-  CHECK(refused.retry_after > Duration{0});
-  this->now += refused.retry_after;
+  const StoreResult failed = this->SingleResult();
+  CHECK(failed.status == StoreStatus::kUnavailable);
+  CHECK(failed.retry_after > Duration{0});
+  this->now += failed.retry_after;
   this->client.Get(this->now, {"fleet", "a"});
   const auto probe = this->Calls();
   REQUIRE(probe.size() == 1);
-  this->Answer(probe[0], {200, 7, "x"});
-  CHECK(this->Only().version == 7);
+  this->Respond(probe[0], {200, 7, "x"});
+  CHECK(this->SingleResult().version == 7);
   CHECK(this->client.Health().mode == StoreMode::kNormal);
   CHECK(this->client.Health().Staleness(this->now + seconds(2)) == seconds(2));
 }
 
 TEST_CASE_METHOD(ClientFixture,
-                 "platform client, malformed answers, end as unavailable and "
-                 "stop nothing") {
+                 "platform client, malformed responses, end as unavailable "
+                 "without affecting other operations") {
   this->client.Hosts(this->now);
   this->client.List(this->now, "fleet", "", "", 10);
   this->client.Get(this->now, {"fleet", "a"});
   for (const HttpCall& call : this->Calls()) {
-    this->Answer(call, {200, 0, "{\"hosts\":[3],\"objects\":[{}]}"});
+    this->Respond(call, {200, 0, "{\"hosts\":[3],\"objects\":[{}]}"});
   }
   const auto results = this->client.TakeResults();
   REQUIRE(results.size() == 3);
@@ -164,7 +164,7 @@
 }
 
 TEST_CASE(
-    "budget of calls, any number of hosts, sums to at most 80% of the "
+    "call budget, any number of hosts, adds up to at most 80% of the "
     "limits") {
   for (const std::size_t hosts : {6U, 60U, 550U}) {
     const CallBudget budget = CallBudgetPerHost({}, hosts);
--- a/src/metadata_store/tests/fake_platform.cc
+++ b/src/metadata_store/tests/fake_platform.cc
@@ -73,9 +73,9 @@
   const std::string* match = FindHeader(call.headers, "If-Match");
   const bool only_absent = FindHeader(call.headers, "If-None-Match") != nullptr;
   const std::string tag = "\"" + std::to_string(current) + "\"";
-  const bool refused = (only_absent && exists) ||
-                       (match != nullptr && (!exists || *match != tag));
-  if (refused) {
+  const bool rejected = (only_absent && exists) ||
+                        (match != nullptr && (!exists || *match != tag));
+  if (rejected) {
     return {412, current, ""};
   }
   if (call.method == "DELETE") {
@@ -104,15 +104,15 @@
   return {200, 0, nlohmann::json{{"objects", rows}}.dump()};
 }
 
-std::vector<Event> ToEvents(CallId id, const FakePlatform::Response& answer) {
+std::vector<Event> ToEvents(CallId id, const FakePlatform::Response& response) {
   Headers headers;
-  if (answer.version != 0) {
-    headers.push_back({"ETag", "\"" + std::to_string(answer.version) + "\""});
+  if (response.version != 0) {
+    headers.push_back({"ETag", "\"" + std::to_string(response.version) + "\""});
   }
-  if (answer.status == 429) {
+  if (response.status == 429) {
     headers.push_back({"Retry-After", "1"});
   }
-  return {HttpHead{id, answer.status, headers}, HttpChunk{id, answer.body},
+  return {HttpHead{id, response.status, headers}, HttpChunk{id, response.body},
           HttpDone{id, HttpEnd::kComplete}};
 }
 
--- a/src/metadata_store/tests/fake_platform.h
+++ b/src/metadata_store/tests/fake_platform.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief In-memory platform that answers HttpCall under virtual time, for
+/// @brief In-memory platform that serves HttpCall under virtual time, for
 /// tests and benchmarks.
 #pragma once
 
@@ -14,17 +14,17 @@
 
 namespace limpetlink::testing {
 
-/// @brief What befalls one call.
+/// @brief Simulated outcome of one call.
 enum class CallFate {
   kServed,
-  kResponseLost,  ///< runs, then the connection breaks
+  kResponseLost,  ///< runs, then the connection is lost
   kNotConnected,  ///< does not run
-  kHangs,         ///< runs, and no answer ever comes
+  kHangs,         ///< runs, and no response ever arrives
   kOutage,        ///< 503, does not run
   kThrottled,     ///< 429, does not run
 };
 
-/// @brief Objects with versions, as the platform's text says.
+/// @brief Versioned objects with the semantics of the platform's object API.
 class FakePlatform {
  public:
   struct Object {
@@ -32,15 +32,15 @@
     std::string bytes;
   };
   struct Response {
-    int status = 0;  ///< 0: the call waits (watch)
+    int status = 0;  ///< 0: the call is held open (watch)
     std::uint64_t version = 0;
     std::string body;
   };
 
-  /// @brief Runs a call against the objects.
+  /// @brief Executes a call against the objects.
   Response Serve(const HttpCall& call);
 
-  std::map<std::string, Object> objects;  ///< by encoded "kind/name"
+  std::map<std::string, Object> objects;  ///< keyed by encoded "kind/name"
   std::string hosts_body = R"({"hosts":[]})";
   std::uint64_t reads = 0;
   std::uint64_t writes = 0;
@@ -51,7 +51,7 @@
   Response ServeList(const std::string& path, const std::string& query) const;
 };
 
-/// @brief Writes an answer as the events an adapter would hand to the core.
-std::vector<Event> ToEvents(CallId id, const FakePlatform::Response& answer);
+/// @brief Converts a response to the events that an adapter would deliver.
+std::vector<Event> ToEvents(CallId id, const FakePlatform::Response& response);
 
 }  // namespace limpetlink::testing
--- a/src/metadata_store/tests/read_back_test.cc
+++ b/src/metadata_store/tests/read_back_test.cc
@@ -23,8 +23,8 @@
 };
 
 TEST_CASE_METHOD(ReadBackFixture,
-                 "read back, each state of the object, gives the verdict that "
-                 "is true of the lost write") {
+                 "read back, each state of the object, yields the outcome of "
+                 "the lost write") {
   using Status = StoreStatus;
   CHECK(Resolve(Read(Status::kOk, 5, "mine")) == WriteOutcome::kApplied);
   CHECK(Resolve(Read(Status::kOk, 5, "other")) == WriteOutcome::kNotApplied);
