--- a/src/placement/controller.cc
+++ b/src/placement/controller.cc
@@ -6,32 +6,32 @@
 namespace limpetlink {
 namespace {
 
-constexpr Duration kTickEvery = std::chrono::milliseconds(250);
-constexpr Duration kLeastOrderTime = std::chrono::seconds(1);
+constexpr Duration kTickInterval = std::chrono::milliseconds(250);
+constexpr Duration kMinCommandTime = std::chrono::seconds(1);
 constexpr std::string_view kServeRole = "serve";
 
 }  // namespace
 
-EngineState WantedOfModel(const FleetDocument& document,
-                          const Upstream& upstream) {
-  EngineState wanted;
-  wanted.model = upstream.serves;
-  wanted.role = std::string(kServeRole);
+EngineState DesiredStateForModel(const FleetDocument& document,
+                                 const Upstream& upstream) {
+  EngineState desired;
+  desired.model = upstream.serves;
+  desired.role = std::string(kServeRole);
   for (const Model& model : document.models) {
     if (model.name == upstream.serves) {
-      wanted.version = model.version;
-      wanted.adapters = model.adapters;
+      desired.version = model.version;
+      desired.adapters = model.adapters;
     }
   }
-  std::sort(wanted.adapters.begin(), wanted.adapters.end());
-  return wanted;
+  std::sort(desired.adapters.begin(), desired.adapters.end());
+  return desired;
 }
 
 PlacementController::PlacementController(PlacementSettings settings,
-                                         WantedState wanted, Lease* lease,
-                                         NextCallId next_call_id)
+                                         DesiredStateFunction desired,
+                                         Lease* lease, NextCallId next_call_id)
     : settings(std::move(settings)),
-      wanted(std::move(wanted)),
+      desired(std::move(desired)),
       lease(lease),
       next_call_id(std::move(next_call_id)),
       random(this->settings.seed),
@@ -42,10 +42,10 @@
   this->document = std::move(document);
   std::map<UpstreamId, Engine> next;
   for (const Upstream& upstream : this->document->upstreams) {
-    const bool taken = upstream.kind == UpstreamKind::kEngine &&
-                       (this->settings.model.empty() ||
-                        this->settings.model == upstream.serves);
-    if (!taken) {
+    const bool managed = upstream.kind == UpstreamKind::kEngine &&
+                         (this->settings.model.empty() ||
+                          this->settings.model == upstream.serves);
+    if (!managed) {
       continue;
     }
     Engine& engine = next[upstream.id];
@@ -55,7 +55,7 @@
       engine = known->second;
     }
     engine.upstream = upstream;
-    engine.wanted = this->wanted(*this->document, upstream);
+    engine.desired = this->desired(*this->document, upstream);
   }
   this->engines = std::move(next);
   this->next_tick = now;
@@ -70,7 +70,7 @@
   for (auto& [id, engine] : this->engines) {
     engine.known = false;
     engine.call = 0;
-    engine.ordered_at = kNever;
+    engine.command_sent_at = kNever;
     engine.next_report = now;
   }
 }
@@ -93,21 +93,21 @@
     this->Reset(now);
     this->epoch = current;
   }
-  std::vector<std::uint64_t> late;
+  std::vector<std::uint64_t> expired;
   for (const auto& [id, call] : this->calls) {
     if (call.until <= now) {
-      late.push_back(id);
+      expired.push_back(id);
     }
   }
-  for (const std::uint64_t id : late) {
+  for (const std::uint64_t id : expired) {
     this->actions.emplace_back(HttpCancel{CallId{id}});
     this->FinishCall(now, id, false);
   }
-  this->next_tick = now + kTickEvery;
+  this->next_tick = now + kTickInterval;
   this->Refill(now);
   if (held && this->document != nullptr) {
     this->ReadReports(now);
-    this->GiveOrders(now);
+    this->SendCommands(now);
   }
 }
 
@@ -117,11 +117,11 @@
   return std::exchange(this->actions, {});
 }
 
-bool PlacementController::Settled() const {
+bool PlacementController::Converged() const {
   return std::all_of(
       this->engines.begin(), this->engines.end(), [](const auto& row) {
         const Engine& engine = row.second;
-        return engine.known && engine.report.state == engine.wanted;
+        return engine.known && engine.report.state == engine.desired;
       });
 }
 
@@ -138,7 +138,7 @@
     }
     this->report_tokens -= 1.0;
     this->report_cursor = at->first;
-    engine.next_report = now + this->settings.report_every;
+    engine.next_report = now + this->settings.report_interval;
     Call call;
     call.kind = CallKind::kReport;
     call.engine = at->first;
@@ -150,64 +150,67 @@
   }
 }
 
-void PlacementController::GiveOrders(Instant now) {
+void PlacementController::SendCommands(Instant now) {
   std::map<std::string, ModelCount> models;
   for (const auto& [id, engine] : this->engines) {
     ModelCount& count = models[engine.upstream.serves];
     ++count.engines;
-    count.loading += engine.ordered_at != kNever ? 1 : 0;
+    count.loading += engine.command_sent_at != kNever ? 1 : 0;
   }
   for (auto& [id, engine] : this->engines) {
     ModelCount& count = models[engine.upstream.serves];
-    if (this->MayOrder(now, engine, count) && this->WeightsReady(now, engine)) {
-      this->SendOrder(now, &engine);
+    if (this->MaySendCommand(now, engine, count) &&
+        this->CheckWeights(now, engine)) {
+      this->SendCommand(now, &engine);
       ++count.loading;
     }
   }
 }
 
-bool PlacementController::MayOrder(Instant now, const Engine& engine,
-                                   const ModelCount& count) const {
-  const bool differs = engine.known && engine.report.state != engine.wanted &&
-                       !engine.wanted.version.empty();
-  const bool free = engine.call == 0 && engine.ordered_at == kNever &&
+bool PlacementController::MaySendCommand(Instant now, const Engine& engine,
+                                         const ModelCount& count) const {
+  const bool differs = engine.known && engine.report.state != engine.desired &&
+                       !engine.desired.version.empty();
+  const bool idle = engine.call == 0 && engine.command_sent_at == kNever &&
                     engine.not_before <= now && !engine.report.draining;
-  if (!differs || !free) {
+  if (!differs || !idle) {
     return false;
   }
-  // Who ignores fencing numbers gets no order while one of an earlier holder
-  // may still arrive.
+  // An engine that ignores fencing numbers receives no command while a command
+  // of an earlier lease holder may still arrive.
   const Duration wait =
-      this->lease->Settings().duration + this->settings.longest_order;
+      this->lease->Settings().duration + this->settings.max_command_delay;
   const bool safe =
       engine.upstream.checks_fencing || now - this->lease->HeldSince() >= wait;
-  const bool time_left = this->lease->HeldUntil() - now >= kLeastOrderTime;
-  const auto most = static_cast<std::size_t>(
-      this->settings.most_loading * static_cast<double>(count.engines));
-  const bool room = count.loading < std::max<std::size_t>(1, most);
-  return safe && time_left && room;
+  const bool time_left = this->lease->HeldUntil() - now >= kMinCommandTime;
+  const auto max_loading = static_cast<std::size_t>(
+      this->settings.max_loading_fraction * static_cast<double>(count.engines));
+  const bool has_capacity =
+      count.loading < std::max<std::size_t>(1, max_loading);
+  return safe && time_left && has_capacity;
 }
 
-bool PlacementController::Reads(const Engine& engine) const {
+bool PlacementController::NeedsWeights(const Engine& engine) const {
   const EngineState& state = engine.report.state;
-  return state.model != engine.wanted.model ||
-         state.version != engine.wanted.version ||
-         state.adapters != engine.wanted.adapters;
+  return state.model != engine.desired.model ||
+         state.version != engine.desired.version ||
+         state.adapters != engine.desired.adapters;
 }
 
-bool PlacementController::WeightsReady(Instant now, const Engine& engine) {
-  if (!this->Reads(engine)) {
+bool PlacementController::CheckWeights(Instant now, const Engine& engine) {
+  if (!this->NeedsWeights(engine)) {
     return true;
   }
   if (this->load_tokens < 1.0 || now < this->weights_not_before) {
     return false;
   }
-  const std::string path = "/v1/weights/" + PercentEncode(engine.wanted.model) +
-                           "/" + PercentEncode(engine.wanted.version);
-  WeightsEntry& entry = this->weights[path];
+  const std::string path = "/v1/weights/" +
+                           PercentEncode(engine.desired.model) + "/" +
+                           PercentEncode(engine.desired.version);
+  WeightsCacheEntry& entry = this->weights[path];
   const bool current = entry.until > now;
   if (current || entry.call != 0) {
-    return current && entry.state == Weights::kThere;
+    return current && entry.state == Weights::kPresent;
   }
   this->load_tokens -= 1.0;
   Call call;
@@ -221,23 +224,24 @@
   return false;
 }
 
-void PlacementController::SendOrder(Instant now, Engine* engine) {
-  if (this->Reads(*engine)) {
+void PlacementController::SendCommand(Instant now, Engine* engine) {
+  if (this->NeedsWeights(*engine)) {
     this->load_tokens -= 1.0;
   }
-  engine->order_id = std::to_string(this->epoch) + "-" +
-                     std::to_string(this->next_order++) + "-" +
-                     engine->upstream.id.value;
-  engine->ordered_at = now;
-  ++this->counters.orders;
+  engine->command_id = std::to_string(this->epoch) + "-" +
+                       std::to_string(this->next_command++) + "-" +
+                       engine->upstream.id.value;
+  engine->command_sent_at = now;
+  ++this->counters.commands;
   Call call;
-  call.kind = CallKind::kOrder;
+  call.kind = CallKind::kCommand;
   call.engine = engine->upstream.id;
   HttpCall http;
   http.method = "POST";
   http.url = engine->upstream.url + "/v1/orders";
   http.headers.push_back({"Content-Type", "application/json"});
-  http.body = WriteOrder(this->epoch, engine->order_id, engine->wanted);
+  http.body =
+      SerializeCommand(this->epoch, engine->command_id, engine->desired);
   http.total_timeout =
       std::min(this->settings.call_timeout, this->lease->HeldUntil() - now);
   engine->call = this->Open(now, std::move(call), std::move(http));
--- a/src/placement/detail/controller.h
+++ b/src/placement/detail/controller.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief PlacementController: reconciles engines to the fleet document.
+/// @brief PlacementController: reconciles engines with the fleet document.
 #pragma once
 
 #include <cstdint>
@@ -18,105 +18,109 @@
 
 namespace limpetlink {
 
-/// @brief Says what a document wants of an engine.
-using WantedState =
+/// @brief Derives an engine's desired state from the fleet document.
+using DesiredStateFunction =
     std::function<EngineState(const FleetDocument&, const Upstream&)>;
 
-/// @brief The usual wanted state: version and adapters of the engine's model,
-/// role "serve".
-EngineState WantedOfModel(const FleetDocument& document,
-                          const Upstream& upstream);
+/// @brief The default desired state: version and adapters of the engine's
+/// model, role "serve".
+EngineState DesiredStateForModel(const FleetDocument& document,
+                                 const Upstream& upstream);
 
-/// @brief What a controller is built with.
+/// @brief Configuration of a PlacementController.
 struct PlacementSettings {
   std::string platform_url;         ///< of the weight store, "http://ip:port"
   std::string model;                ///< only engines of this model; empty: all
-  double reports_per_second = 4.0;  ///< read from engines in turn
-  Duration report_every{std::chrono::seconds(3)};  ///< least time between two
-                                                   ///< reads of one engine
+  double reports_per_second = 4.0;  ///< rate limit; engines are polled in turn
+  /// Minimum time between two reports of the same engine.
+  Duration report_interval{std::chrono::seconds(3)};
   Duration call_timeout{std::chrono::seconds(5)};
-  Duration order_timeout{std::chrono::minutes(10)};  ///< an order not verified
-                                                     ///< by then is given again
-  Duration longest_order{std::chrono::seconds(30)};  ///< an order given is
-                                                     ///< taken to arrive within
-  double loads_per_second = 0.5;  ///< orders that read the weight store
+  /// A command that is not verified within this time is sent again.
+  Duration command_timeout{std::chrono::minutes(10)};
+  /// Longest assumed delay between sending a command and its arrival.
+  Duration max_command_delay{std::chrono::seconds(30)};
+  double loads_per_second = 0.5;  ///< commands that read the weight store
   double load_burst = 2.0;
-  double most_loading = 0.25;  ///< share of a model's engines at once; at least
-                               ///< one engine
-  Duration weights_known_for{std::chrono::seconds(60)};
+  /// Fraction of a model's engines that may load at the same time; at least one
+  /// engine may.
+  double max_loading_fraction = 0.25;
+  Duration weights_cache_lifetime{std::chrono::seconds(60)};
   std::uint64_t seed = 1;
 };
 
-/// @brief Counted since the start.
+/// @brief Counters since construction.
 struct PlacementCounters {
   std::uint64_t reports = 0;
   std::uint64_t malformed_reports = 0;
-  std::uint64_t orders = 0;
+  std::uint64_t commands = 0;
   std::uint64_t accepted = 0;
-  std::uint64_t fenced = 0;      ///< refused with a higher number
-  std::uint64_t unanswered = 0;  ///< orders whose answer was lost
-  std::uint64_t verified = 0;    ///< wanted state seen after an order
+  std::uint64_t fenced = 0;          ///< rejected with a higher fencing number
+  std::uint64_t lost_responses = 0;  ///< commands whose response was lost
+  std::uint64_t verified = 0;        ///< desired state reported after a command
   std::uint64_t weights_throttled = 0;
   std::uint64_t weights_absent = 0;
 };
 
-/// @brief Gives orders to engines while the lease is held.
+/// @brief Sends commands to engines while the lease is held.
 /// @note Example:
 /// @code
-/// PlacementController controller(settings, WantedOfModel, &lease, next_call);
+/// PlacementController controller(settings, DesiredStateForModel, &lease,
+///                                next_call_id);
 /// controller.Configure(now, document);
-/// controller.Tick(now);  // by NextWakeup(); and OnHead, OnChunk, OnDone
-/// for (Action& action : controller.TakeActions()) { carry_out(action); }
+/// controller.Tick(now);  // by NextWakeup(); also OnHead, OnChunk, OnDone
+/// for (Action& action : controller.TakeActions()) { execute(action); }
 /// @endcode
 class PlacementController {
  public:
-  /// @param wanted derives an engine's wanted state
-  /// @param lease outlives the controller; its holder steps it
-  /// @param next_call_id makes ids for HTTP calls
-  PlacementController(PlacementSettings settings, WantedState wanted,
+  /// @param settings URLs, rates and timeouts
+  /// @param desired derives an engine's desired state
+  /// @param lease must outlive the controller and is advanced by its owner
+  /// @param next_call_id generates ids for HTTP calls
+  PlacementController(PlacementSettings settings, DesiredStateFunction desired,
                       Lease* lease, NextCallId next_call_id);
 
-  /// @brief Takes a document that is in force. Orders out go on.
+  /// @brief Applies the active fleet document. Commands in flight continue.
   void Configure(Instant now, std::shared_ptr<const FleetDocument> document);
 
-  /// @brief Takes an event of a call.
-  /// @return whether the call is one of the controller's
+  /// @brief Handles an event of an HTTP call.
+  /// @return whether the call belongs to the controller
   bool OnHead(Instant now, const HttpHead& head);
   bool OnChunk(Instant now, const HttpChunk& chunk);
   bool OnDone(Instant now, const HttpDone& done);
 
-  /// @brief Lets time pass.
+  /// @brief Expires overdue calls; while the lease is held, reads reports and
+  /// sends commands.
   void Tick(Instant now);
 
-  /// @return when Tick is due at the latest
+  /// @return the latest time for the next Tick
   Instant NextWakeup() const;
 
-  /// @brief Hands over the HTTP orders since the last take.
+  /// @brief Moves out the HTTP actions emitted since the previous call.
   Actions TakeActions();
 
-  /// @return whether every engine last reported its wanted state
-  bool Settled() const;
+  /// @return whether the last report of every engine shows its desired state
+  bool Converged() const;
 
-  /// @return counted since the start
+  /// @return counters since construction
   const PlacementCounters& Counters() const { return this->counters; }
 
  private:
-  enum class CallKind { kReport, kOrder, kWeights };
-  enum class Weights { kUnknown, kThere, kAbsent };
+  enum class CallKind { kReport, kCommand, kWeights };
+  enum class Weights { kUnknown, kPresent, kAbsent };
 
   struct Engine {
     Upstream upstream;
-    EngineState wanted;
+    EngineState desired;
     bool known = false;
-    EngineReport report;
+    EngineStateReport report;
     Instant next_report{};
-    std::uint64_t call = 0;       ///< open; 0: none
-    Instant ordered_at = kNever;  ///< an order is out; kNever: none
-    std::string order_id;
+    std::uint64_t call = 0;            ///< in flight; 0: none
+    Instant command_sent_at = kNever;  ///< kNever: no pending command
+    std::string command_id;
     Instant not_before{};
     std::uint32_t failures = 0;
   };
-  struct WeightsEntry {
+  struct WeightsCacheEntry {
     Weights state = Weights::kUnknown;
     Instant until{};
     std::uint64_t call = 0;
@@ -137,28 +141,28 @@
 
   void Reset(Instant now);
   void ReadReports(Instant now);
-  void GiveOrders(Instant now);
-  bool MayOrder(Instant now, const Engine& engine,
-                const ModelCount& count) const;
-  bool WeightsReady(Instant now, const Engine& engine);
-  bool Reads(const Engine& engine) const;
-  void SendOrder(Instant now, Engine* engine);
+  void SendCommands(Instant now);
+  bool MaySendCommand(Instant now, const Engine& engine,
+                      const ModelCount& count) const;
+  bool CheckWeights(Instant now, const Engine& engine);
+  bool NeedsWeights(const Engine& engine) const;
+  void SendCommand(Instant now, Engine* engine);
   std::uint64_t Open(Instant now, Call call, HttpCall http);
-  void FinishCall(Instant now, std::uint64_t id, bool answered);
-  void HandleReport(Instant now, const Call& call, bool answered);
-  void HandleOrder(Instant now, const Call& call, bool answered);
-  void HandleWeights(Instant now, const Call& call, bool answered);
-  void BackOff(Instant now, Engine* engine);
+  void FinishCall(Instant now, std::uint64_t id, bool completed);
+  void HandleReport(Instant now, const Call& call, bool completed);
+  void HandleCommandResult(Instant now, const Call& call, bool completed);
+  void HandleWeights(Instant now, const Call& call, bool completed);
+  void ScheduleRetry(Instant now, Engine* engine);
   void Refill(Instant now);
 
   PlacementSettings settings;
-  WantedState wanted;
+  DesiredStateFunction desired;
   Lease* lease;
   NextCallId next_call_id;
   Random random;
   std::shared_ptr<const FleetDocument> document;
   std::map<UpstreamId, Engine> engines;
-  std::map<std::string, WeightsEntry> weights;
+  std::map<std::string, WeightsCacheEntry> weights;
   std::map<std::uint64_t, Call> calls;
   UpstreamId report_cursor;
   double report_tokens = 1;
@@ -166,8 +170,8 @@
   Instant refilled_at{};
   Instant weights_not_before{};
   Instant next_tick{};
-  std::uint64_t epoch = 0;  ///< of the holding that the state below belongs to
-  std::uint64_t next_order = 1;
+  std::uint64_t epoch = 0;  ///< lease epoch that the call state belongs to
+  std::uint64_t next_command = 1;
   PlacementCounters counters;
   Actions actions;
 };
--- a/src/placement/detail/engine.h
+++ b/src/placement/detail/engine.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What an engine reports and what is wanted of it.
+/// @brief Desired and reported state of an engine.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,8 @@
 
 namespace limpetlink {
 
-/// @brief What an engine is to serve; an order names this state and not a step.
+/// @brief What an engine serves. A command carries the complete desired state
+/// and not a step towards it.
 struct EngineState {
   std::string model;
   std::string version;
@@ -28,21 +29,21 @@
   }
 };
 
-/// @brief An engine's own report.
-struct EngineReport {
+/// @brief State reported by an engine.
+struct EngineStateReport {
   EngineState state;
   bool draining = false;
-  std::uint64_t fence = 0;  ///< highest fencing number that it accepted
-  std::string order_id;     ///< of its last order
-  std::string order_state;  ///< as "loading", "done" or "failed"
+  std::uint64_t fence = 0;    ///< highest fencing number accepted so far
+  std::string command_id;     ///< of the engine's last command
+  std::string command_state;  ///< such as "loading", "done" or "failed"
 };
 
-/// @brief Reads the answer of GET /v1/load.
-/// @return the report, or nothing when malformed
-std::optional<EngineReport> ReadEngineReport(std::string_view json);
+/// @brief Parses the response of GET /v1/load.
+/// @return the report, or nullopt when malformed
+std::optional<EngineStateReport> ParseEngineStateReport(std::string_view json);
 
-/// @brief Writes the body of POST /v1/orders.
-std::string WriteOrder(std::uint64_t fence, const std::string& order_id,
-                       const EngineState& wanted);
+/// @brief Returns the JSON body of POST /v1/orders.
+std::string SerializeCommand(std::uint64_t fence, const std::string& command_id,
+                             const EngineState& desired);
 
 }  // namespace limpetlink
--- a/src/placement/detail/placement_host.h
+++ b/src/placement/detail/placement_host.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief PlacementHost: the core of a process that gives orders to engines
+/// @brief PlacementHost: the core of a process that sends commands to engines
 /// while it holds the lease.
 #pragma once
 
@@ -15,19 +15,18 @@
 
 namespace limpetlink {
 
-/// @brief What a placement host is built with.
+/// @brief Configuration of a PlacementHost.
 struct PlacementHostSettings {
   HostId self;
   std::string platform_url;  ///< "http://ip:port"
   std::string fleet_name;    ///< name of the fleet document's object
   std::string model;         ///< only engines of this model; empty: all
-  std::uint64_t seed = 1;    ///< differs for each start of the process
+  std::uint64_t seed = 1;  ///< must differ between incarnations of the process
 };
 
-/// @brief Composes document, lease and controller behind the same steps as an
-/// entry host; any number
-///        may run, the lease's holder is active. No I/O, clock, thread or
-///        random device inside.
+/// @brief Combines configuration, lease and controller behind the same
+/// interface as an entry host. Any number of placement hosts may run; the one
+/// that holds the lease is active. Uses no I/O, clock, thread or random device.
 /// @note Example:
 /// @code
 /// PlacementHost host(settings);
@@ -35,26 +34,26 @@
 /// @endcode
 class PlacementHost {
  public:
-  /// @param settings who this host is and whom it talks to
+  /// @param settings identity of this host and address of the platform
   explicit PlacementHost(PlacementHostSettings settings);
 
-  /// @brief Begins to read the document and to take the lease.
+  /// @brief Starts reading the fleet document and acquiring the lease.
   Actions Start(Instant at);
-  /// @brief Takes an event of an HTTP call; others are ignored.
+  /// @brief Handles an event of an HTTP call; ignores other events.
   Actions Step(Instant at, const Event& event);
-  /// @brief Lets time pass.
+  /// @brief Advances the timers.
   Actions Tick(Instant at);
-  /// @brief Gives the lease back.
+  /// @brief Starts releasing the lease.
   Actions Drain(Instant at);
-  /// @return when Tick is due at the latest
+  /// @return the latest time for the next Tick
   Instant NextWakeup() const;
-  /// @return whether Drain was called and the lease is given back, or can't be
-  /// for now
+  /// @return whether Drain was called and the time limit for releasing the
+  /// lease has passed
   bool Drained() const;
 
   /// @return whether this host holds the lease
   bool Active(Instant now) const { return this->lease.Held(now); }
-  /// @return what was ordered so far
+  /// @return the controller's counters
   const PlacementCounters& Counters() const {
     return this->controller.Counters();
   }
@@ -65,8 +64,8 @@
   void On(const HttpDone& done);
   template <typename Other>
   void On(const Other& /*other*/) {}
-  void Adopt(const ConfigurationAdopted& adopted);
-  Actions Settle();
+  void ApplyConfiguration(const ConfigurationAdopted& applied);
+  Actions ProcessResults();
 
   PlacementHostSettings settings;
   Instant now;
--- a/src/placement/engine.cc
+++ b/src/placement/engine.cc
@@ -16,20 +16,21 @@
 
 }  // namespace
 
-std::optional<EngineReport> ReadEngineReport(std::string_view json) {
+std::optional<EngineStateReport> ParseEngineStateReport(std::string_view json) {
   const Json value = Json::parse(json, nullptr, false);
-  const bool shape = value.is_object() && value.contains("model") &&
-                     value["model"].is_string() && value.contains("version") &&
-                     value["version"].is_string();
-  if (!shape) {
+  const bool well_formed = value.is_object() && value.contains("model") &&
+                           value["model"].is_string() &&
+                           value.contains("version") &&
+                           value["version"].is_string();
+  if (!well_formed) {
     return std::nullopt;
   }
-  EngineReport report;
+  EngineStateReport report;
   report.state.model = ReadText(value, "model");
   report.state.version = ReadText(value, "version");
   report.state.role = ReadText(value, "role");
-  report.order_id = ReadText(value, "order_id");
-  report.order_state = ReadText(value, "order_state");
+  report.command_id = ReadText(value, "order_id");
+  report.command_state = ReadText(value, "order_state");
   if (value.contains("draining") && value["draining"].is_boolean()) {
     report.draining = value["draining"].get<bool>();
   }
@@ -47,16 +48,16 @@
   return report;
 }
 
-std::string WriteOrder(std::uint64_t fence, const std::string& order_id,
-                       const EngineState& wanted) {
-  const Json order = {{"fence", fence},
-                      {"order_id", order_id},
-                      {"wanted",
-                       {{"model", wanted.model},
-                        {"version", wanted.version},
-                        {"adapters", wanted.adapters},
-                        {"role", wanted.role}}}};
-  return order.dump(-1, ' ', false, Json::error_handler_t::replace);
+std::string SerializeCommand(std::uint64_t fence, const std::string& command_id,
+                             const EngineState& desired) {
+  const Json command = {{"fence", fence},
+                        {"order_id", command_id},
+                        {"wanted",
+                         {{"model", desired.model},
+                          {"version", desired.version},
+                          {"adapters", desired.adapters},
+                          {"role", desired.role}}}};
+  return command.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
 }  // namespace limpetlink
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Orders to engines under a lease: models, versions, adapters and roles
-/// brought to the document's wanted state.
+/// @brief Placement: reconciles the models, versions, adapters and roles of
+/// engines with the fleet document, under a lease.
 #pragma once
 
 #include "placement/detail/controller.h"
--- a/src/placement/placement_host.cc
+++ b/src/placement/placement_host.cc
@@ -6,7 +6,7 @@
 namespace limpetlink {
 namespace {
 
-/// How long giving the lease back may take; after that it lapses by itself.
+/// Time limit for releasing the lease; after it the lease expires by itself.
 constexpr Duration kReleaseLimit = std::chrono::seconds(2);
 
 MetadataStoreSettings PlatformSettingsOf(
@@ -53,7 +53,7 @@
           ConfigurationSettingsOf(settings), &platform,
           [](std::string_view text) { return StatusOf(ParseFleet(text)); }),
       lease(LeaseSettingsOf(settings), &platform),
-      controller(ControllerSettingsOf(settings), WantedOfModel, &lease,
+      controller(ControllerSettingsOf(settings), DesiredStateForModel, &lease,
                  [this] { return CallId{++this->last_call}; }) {}
 
 Actions PlacementHost::Start(Instant at) {
@@ -61,13 +61,13 @@
   this->configuration.Start(at);
   this->configuration.OnHosts(at, {this->settings.self}, {});
   this->lease.Start(at);
-  return this->Settle();
+  return this->ProcessResults();
 }
 
 Actions PlacementHost::Step(Instant at, const Event& event) {
   this->now = at;
   std::visit([this](const auto& content) { this->On(content); }, event);
-  return this->Settle();
+  return this->ProcessResults();
 }
 
 Actions PlacementHost::Tick(Instant at) {
@@ -76,7 +76,7 @@
   this->configuration.Tick(at);
   this->controller.Tick(at);
   this->platform.Tick(at);
-  return this->Settle();
+  return this->ProcessResults();
 }
 
 Actions PlacementHost::Drain(Instant at) {
@@ -85,7 +85,7 @@
     this->drain_until = at + kReleaseLimit;
     this->lease.Release(at);
   }
-  return this->Settle();
+  return this->ProcessResults();
 }
 
 Instant PlacementHost::NextWakeup() const {
@@ -116,8 +116,8 @@
   }
 }
 
-void PlacementHost::Adopt(const ConfigurationAdopted& adopted) {
-  FleetParseResult parsed = ParseFleet(adopted.text);
+void PlacementHost::ApplyConfiguration(const ConfigurationAdopted& applied) {
+  FleetParseResult parsed = ParseFleet(applied.text);
   if (!parsed.Ok()) {
     return;
   }
@@ -126,18 +126,18 @@
   this->actions.emplace_back(
       LogLine{LogLevel::kInfo,
               "fleet document adopted",
-              {{"version", std::to_string(adopted.version)}}});
+              {{"version", std::to_string(applied.version)}}});
 }
 
-Actions PlacementHost::Settle() {
+Actions PlacementHost::ProcessResults() {
   for (const StoreResult& result : this->platform.TakeResults()) {
     if (!this->lease.OnPlatform(this->now, result)) {
       this->configuration.OnPlatform(this->now, result);
     }
   }
   for (const ConfigurationAction& action : this->configuration.TakeActions()) {
-    if (const auto* adopted = std::get_if<ConfigurationAdopted>(&action)) {
-      this->Adopt(*adopted);
+    if (const auto* applied = std::get_if<ConfigurationAdopted>(&action)) {
+      this->ApplyConfiguration(*applied);
     }
   }
   for (const LeaseChange& change : this->lease.TakeChanges()) {
