--- a/src/operators/blocking_http.cc
+++ b/src/operators/blocking_http.cc
@@ -7,9 +7,9 @@
 namespace limpetlink {
 namespace {
 
-constexpr std::chrono::milliseconds kStandardTimeout{30000};
+constexpr std::chrono::milliseconds kDefaultTimeout{30000};
 
-/// The C library's integer type for options.
+/// Integer type of libcurl's options.
 using CurlLong = decltype(0L);
 
 struct EasyDeleter {
@@ -22,18 +22,18 @@
 };
 using HeaderList = std::unique_ptr<curl_slist, ListDeleter>;
 
-std::size_t TakeBody(char* data, std::size_t size, std::size_t count,
-                     void* target) {
-  auto* answer = static_cast<HttpResponse*>(target);
+std::size_t AppendBody(char* data, std::size_t size, std::size_t count,
+                       void* target) {
+  auto* response = static_cast<HttpResponse*>(target);
   const std::size_t bytes = size * count;
-  if (answer->body.size() + bytes > kMaxResponseBytes) {
+  if (response->body.size() + bytes > kMaxResponseBytes) {
     return 0;
   }
-  answer->body.append(data, bytes);
+  response->body.append(data, bytes);
   return bytes;
 }
 
-std::string Trimmed(std::string_view text) {
+std::string Trim(std::string_view text) {
   constexpr std::string_view kBlank = " \t\r\n";
   const std::size_t first = text.find_first_not_of(kBlank);
   if (first == std::string_view::npos) {
@@ -43,16 +43,16 @@
   return std::string(text.substr(first, last - first + 1));
 }
 
-std::size_t TakeHeader(char* data, std::size_t size, std::size_t count,
-                       void* target) {
-  auto* answer = static_cast<HttpResponse*>(target);
+std::size_t StoreHeader(char* data, std::size_t size, std::size_t count,
+                        void* target) {
+  auto* response = static_cast<HttpResponse*>(target);
   const std::string_view line(data, size * count);
   const std::size_t colon = line.find(':');
   if (line.substr(0, 5) == "HTTP/") {
-    answer->headers.clear();
+    response->headers.clear();
   } else if (colon != std::string_view::npos) {
-    answer->headers.push_back(
-        {Trimmed(line.substr(0, colon)), Trimmed(line.substr(colon + 1))});
+    response->headers.push_back(
+        {Trim(line.substr(0, colon)), Trim(line.substr(colon + 1))});
   }
   return line.size();
 }
@@ -69,7 +69,7 @@
   for (const Header& header : headers) {
     append(header.name + ": " + header.value);
   }
-  append("Expect:");  // send the body at once
+  append("Expect:");  // sends the body without waiting for 100 Continue
   return list;
 }
 
@@ -78,10 +78,10 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(duration).count());
 }
 
-void SetUp(CURL* handle, const HttpCall& call, const HeaderList& headers,
-           HttpResponse* answer) {
+void ConfigureHandle(CURL* handle, const HttpCall& call,
+                     const HeaderList& headers, HttpResponse* response) {
   const Duration total =
-      call.total_timeout.count() > 0 ? call.total_timeout : kStandardTimeout;
+      call.total_timeout.count() > 0 ? call.total_timeout : kDefaultTimeout;
   curl_easy_setopt(handle, CURLOPT_URL, call.url.c_str());
   curl_easy_setopt(handle, CURLOPT_PROTOCOLS_STR, "http");
   curl_easy_setopt(handle, CURLOPT_NOSIGNAL, 1L);
@@ -92,10 +92,10 @@
   curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS,
                    Milliseconds(call.connect_timeout));
   curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS, Milliseconds(total));
-  curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, TakeBody);
-  curl_easy_setopt(handle, CURLOPT_WRITEDATA, answer);
-  curl_easy_setopt(handle, CURLOPT_HEADERFUNCTION, TakeHeader);
-  curl_easy_setopt(handle, CURLOPT_HEADERDATA, answer);
+  curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, AppendBody);
+  curl_easy_setopt(handle, CURLOPT_WRITEDATA, response);
+  curl_easy_setopt(handle, CURLOPT_HEADERFUNCTION, StoreHeader);
+  curl_easy_setopt(handle, CURLOPT_HEADERDATA, response);
   if (!call.body.empty() || call.method == "PUT" || call.method == "POST") {
     curl_easy_setopt(handle, CURLOPT_POSTFIELDSIZE_LARGE,
                      static_cast<curl_off_t>(call.body.size()));
@@ -103,7 +103,7 @@
   }
 }
 
-HttpEnd EndOf(CURL* handle, CURLcode code) {
+HttpEnd ClassifyEnd(CURL* handle, CURLcode code) {
   if (code == CURLE_OK) {
     return HttpEnd::kComplete;
   }
@@ -118,19 +118,19 @@
 }  // namespace
 
 HttpResponse ExchangeOverCurl(const HttpCall& call) {
-  HttpResponse answer;
+  HttpResponse response;
   const EasyHandle handle(curl_easy_init());
   if (handle == nullptr) {
-    return answer;
+    return response;
   }
   const HeaderList headers = MakeHeaders(call.headers);
-  SetUp(handle.get(), call, headers, &answer);
+  ConfigureHandle(handle.get(), call, headers, &response);
   const CURLcode code = curl_easy_perform(handle.get());
   CurlLong status = 0;
   curl_easy_getinfo(handle.get(), CURLINFO_RESPONSE_CODE, &status);
-  answer.status = static_cast<int>(status);
-  answer.end = EndOf(handle.get(), code);
-  return answer;
+  response.status = static_cast<int>(status);
+  response.end = ClassifyEnd(handle.get(), code);
+  return response;
 }
 
 }  // namespace limpetlink
--- a/src/operators/detail/blocking_http.h
+++ b/src/operators/detail/blocking_http.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One HTTP call at a time, for programs that wait for each answer.
+/// @brief Blocking HTTP calls, one at a time.
 #pragma once
 
 #include <functional>
@@ -9,27 +9,30 @@
 
 namespace limpetlink {
 
-/// @brief Greatest body that is taken, in bytes; a larger one cuts the call.
+/// @brief Maximum size of a response body in bytes; a larger one aborts the
+/// call.
 inline constexpr std::size_t kMaxResponseBytes = 16U << 20U;
 
-/// @brief The answer of a call.
+/// @brief Result of an HTTP call.
 struct HttpResponse {
   HttpEnd end = HttpEnd::kNotConnected;
-  int status = 0;  ///< 0 when no head arrived
+  int status = 0;  ///< 0 when no response head arrived
   Headers headers;
   std::string body;
 };
 
-/// @brief Carries out a call and waits for its end.
+/// @brief Executes a call and blocks until it ends.
 using HttpExchange = std::function<HttpResponse(const HttpCall& call)>;
 
-/// @brief Carries out a call over libcurl on a connection of its own.
-/// @param call what to send; a total_timeout of 0 means 30 s here
-/// @return the answer; never throws. The request is sent at most once.
+/// @brief Executes a call with libcurl on a new connection. Sends the request
+/// at most once and never throws.
+/// @param call the call; a total_timeout of 0 means 30 s
+/// @return the response and how the call ended
 /// @note Example:
 /// @code
-/// const HttpResponse answer = ExchangeOverCurl({CallId{1}, "GET", url, {},
-/// {}}); if (answer.end == HttpEnd::kComplete && answer.status == 200) { ... }
+/// const HttpCall call{CallId{1}, "GET", url, {}, {}};
+/// const HttpResponse response = ExchangeOverCurl(call);
+/// if (response.end == HttpEnd::kComplete && response.status == 200) { ... }
 /// @endcode
 HttpResponse ExchangeOverCurl(const HttpCall& call);
 
--- a/src/operators/detail/fleet_changes.h
+++ b/src/operators/detail/fleet_changes.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Changes of the fleet document as operators make and list them.
+/// @brief Reading the fleet document and its history; ids of changes.
 #pragma once
 
 #include <cstdint>
@@ -14,42 +14,43 @@
 
 namespace limpetlink {
 
-/// @brief The fleet document as it stands at the platform.
+/// @brief The fleet document as stored at the platform.
 struct StoredFleet {
-  std::uint64_t version = 0;  ///< 0: there is none
+  std::uint64_t version = 0;  ///< 0: no document exists
   std::string text;
   FleetDocument document;
 };
 
 /// @brief Reads the fleet document from the platform.
+/// @param platform client of the platform
 /// @param name the fleet's name
-/// @return the document with version 0 when there is none; platform.101 when
-/// the platform does not answer; fleet.102 when what stands there is invalid
+/// @return the document, with version 0 if none exists; platform.101 if the
+/// platform does not respond; fleet.102 if the stored document is invalid
 absl::StatusOr<StoredFleet> ReadStoredFleet(PlatformAccess* platform,
                                             const std::string& name);
 
-/// @brief Names a change by what it is, so that the same change applied again
-/// after a lost answer is recognised as the same.
-/// @param base_version the version that the change begins from
-/// @param author who makes it
-/// @param document what is to be in force
-/// @return 32 hexadecimal digits; the document's own change id and author do
-/// not count
+/// @brief Derives a change's id from its contents, so that a change that is
+/// applied again after a lost response is recognised as the same change.
+/// @param base_version the version that the change is based on
+/// @param author author of the change
+/// @param document the new document; its change id and author are ignored
+/// @return 32 hexadecimal digits
 std::string MakeChangeId(std::uint64_t base_version, std::string_view author,
                          FleetDocument document);
 
-/// @brief Whose change a version was.
+/// @brief The change and author behind one version of the document.
 struct FleetRevision {
   std::uint64_t version = 0;
   std::string change_id;
   std::string author;
 };
 
-/// @brief Reads the newest revisions, newest first.
-/// @param current the document as it stands now
-/// @param limit most revisions wanted, at least 1
-/// @return the revisions whose record is there; platform.101 when the platform
-/// does not answer
+/// @brief Reads the most recent revisions, newest first.
+/// @param platform client of the platform
+/// @param current the current document
+/// @param limit maximum number of revisions, at least 1
+/// @return the revisions that have a readable record; platform.101 if the
+/// platform does not respond
 absl::StatusOr<std::vector<FleetRevision>> ReadHistory(
     PlatformAccess* platform, const StoredFleet& current, std::uint32_t limit);
 
--- a/src/operators/detail/host_queries.h
+++ b/src/operators/detail/host_queries.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Questions and orders of operators to entry hosts.
+/// @brief Operator requests to entry hosts.
 #pragma once
 
 #include <cstdint>
@@ -12,38 +12,39 @@
 
 namespace limpetlink {
 
-/// @brief Where and with what key an entry host is asked.
+/// @brief Address and key for operator requests to an entry host.
 struct HostAccess {
   std::string address;       ///< "ip:port" for callers
-  std::string operator_key;  ///< empty: none is sent
+  std::string operator_key;  ///< empty: no key is sent
 };
 
-/// @brief What an entry host says of itself.
+/// @brief Status reported by an entry host.
 struct HostStatus {
   std::string address;
   bool available = false;
-  std::string error;  ///< why there is no status; empty when answered
+  std::string error;  ///< why there is no status; empty when responded
   std::string host;
   std::uint64_t fleet_version = 0;
   bool ready = false;
   bool draining = false;
-  std::string body;  ///< the whole answer, JSON
+  std::string body;  ///< the complete response, JSON
 };
 
-/// @brief Asks a host for its status. Never fails: the answer says why there is
-/// none.
+/// @brief Queries the status of a host.
+/// @return the status; on failure `available` is false and `error` is set
 HostStatus QueryStatus(const HttpExchange& exchange, const HostAccess& access);
 
-/// @brief Asks a host for every request in progress.
-/// @return the answer's JSON text, or why there is none
+/// @brief Queries all requests in progress at a host.
+/// @return the response's JSON text, or the error
 absl::StatusOr<std::string> QueryRequests(const HttpExchange& exchange,
                                           const HostAccess& access);
 
-/// @brief Tells a host to take no new work and to finish what it has.
+/// @brief Starts draining a host: it accepts no new requests and completes
+/// those in progress.
 absl::Status SendDrainRequest(const HttpExchange& exchange,
                               const HostAccess& access);
 
-/// @brief Splits "ip:port,ip:port" at commas; empty parts are left out.
+/// @brief Splits "ip:port,ip:port" at commas and skips empty parts.
 std::vector<std::string> SplitAddresses(std::string_view text);
 
 }  // namespace limpetlink
--- a/src/operators/detail/platform_access.h
+++ b/src/operators/detail/platform_access.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The platform client driven by blocking calls.
+/// @brief Blocking access to the platform's object API.
 #pragma once
 
 #include <chrono>
@@ -13,16 +13,16 @@
 
 namespace limpetlink {
 
-/// @brief Time and waiting, so that tests need neither.
+/// @brief Clock and sleep, replaceable in tests.
 struct WaitHooks {
   std::function<Instant()> now;              ///< monotonic time
   std::function<void(Instant until)> sleep;  ///< returns at or after `until`
 };
 
-/// @brief The process's steady clock and sleep.
+/// @brief Returns hooks for the process's steady clock and sleep.
 WaitHooks SystemWaitHooks();
 
-/// @brief Runs platform operations to their end, one after another.
+/// @brief Runs platform operations to completion, one at a time.
 /// @note Example:
 /// @code
 /// PlatformAccess platform("http://127.0.0.1:8500", ExchangeOverCurl,
@@ -32,8 +32,8 @@
 class PlatformAccess {
  public:
   /// @param url "http://ip:port" of the platform
-  /// @param exchange carries HTTP calls out
-  /// @param hooks time and waiting
+  /// @param exchange executes HTTP calls
+  /// @param hooks clock and sleep
   PlatformAccess(const std::string& url, HttpExchange exchange,
                  WaitHooks hooks);
 
@@ -41,7 +41,10 @@
   StoreResult Get(const ObjectKey& key);
 
   /// @brief Lists objects of a kind.
-  /// @param after only names above this one
+  /// @param kind kind of the objects
+  /// @param prefix prefix of their names
+  /// @param after exclusive lower bound of the names
+  /// @param limit maximum number of rows
   StoreResult List(const std::string& kind, const std::string& prefix,
                    const std::string& after, std::uint32_t limit);
 
@@ -49,17 +52,17 @@
   StoreResult Hosts();
 
   /// @brief Applies a change of the fleet document.
-  /// @param change what is wanted
-  /// @param limit an answer is given by then
+  /// @param change the change
+  /// @param limit time limit; a result is returned by then
   ApplyResult Apply(const FleetChange& change, Duration limit);
 
  private:
-  using TakeResult = std::function<void(const StoreResult& result)>;
+  using ResultHandler = std::function<void(const StoreResult& result)>;
 
-  void Carry(const HttpCall& call);
-  bool Advance(const TakeResult& take);
+  void Execute(const HttpCall& call);
+  bool RunPendingCalls(const ResultHandler& handler);
   void SleepUntil(Instant until);
-  StoreResult RunToEnd(StoreOp op);
+  StoreResult RunToCompletion(StoreOp op);
 
   HttpExchange exchange;
   WaitHooks hooks;
--- a/src/operators/fleet_changes.cc
+++ b/src/operators/fleet_changes.cc
@@ -11,7 +11,7 @@
 constexpr std::size_t kChangeIdDigits = 32;
 constexpr char kSeparator = '\n';
 
-absl::Status Unreachable(const StoreResult& result) {
+absl::Status UnavailableStatus(const StoreResult& result) {
   const std::string_view status = ToText(result.status);
   return MakeStatus(ErrorCode::kPlatformUnavailable, status);
 }
@@ -37,7 +37,7 @@
     return StoredFleet();
   }
   if (read.status != StoreStatus::kOk) {
-    return Unreachable(read);
+    return UnavailableStatus(read);
   }
   FleetParseResult parsed = ParseFleet(read.bytes);
   if (!parsed.Ok()) {
@@ -76,10 +76,10 @@
        --version) {
     const StoreResult read =
         platform->Get({kind, HistoryName(current.document.name, version)});
-    const bool answered =
+    const bool responded =
         read.status == StoreStatus::kOk || read.status == StoreStatus::kAbsent;
-    if (!answered) {
-      return Unreachable(read);
+    if (!responded) {
+      return UnavailableStatus(read);
     }
     const auto revision = ParseRevision(read.bytes);
     if (read.status == StoreStatus::kOk && revision) {
--- a/src/operators/host_queries.cc
+++ b/src/operators/host_queries.cc
@@ -11,8 +11,8 @@
 constexpr std::chrono::seconds kHostTimeout{5};
 constexpr int kFirstFailureStatus = 300;
 
-HttpResponse Ask(const HttpExchange& exchange, const HostAccess& access,
-                 std::string_view method, std::string_view path) {
+HttpResponse SendRequest(const HttpExchange& exchange, const HostAccess& access,
+                         std::string_view method, std::string_view path) {
   HttpCall call;
   call.id = CallId{1};
   call.method = std::string(method);
@@ -24,13 +24,13 @@
   return exchange(call);
 }
 
-absl::Status StatusOf(const HttpResponse& answer) {
-  if (answer.end != HttpEnd::kComplete) {
-    return MakeStatus(ErrorCode::kUpstreamUnreachable, ToText(answer.end));
+absl::Status StatusOf(const HttpResponse& response) {
+  if (response.end != HttpEnd::kComplete) {
+    return MakeStatus(ErrorCode::kUpstreamUnreachable, ToText(response.end));
   }
-  if (answer.status >= kFirstFailureStatus) {
+  if (response.status >= kFirstFailureStatus) {
     return MakeStatus(ErrorCode::kUpstreamRefused,
-                      absl::StrCat(answer.status, " ", answer.body));
+                      absl::StrCat(response.status, " ", response.body));
   }
   return absl::OkStatus();
 }
@@ -40,15 +40,16 @@
 HostStatus QueryStatus(const HttpExchange& exchange, const HostAccess& access) {
   HostStatus status;
   status.address = access.address;
-  const HttpResponse answer = Ask(exchange, access, "GET", "/v1/status");
-  const absl::Status asked = StatusOf(answer);
-  if (!asked.ok()) {
-    status.error = absl::StrCat(asked.message());
+  const HttpResponse response =
+      SendRequest(exchange, access, "GET", "/v1/status");
+  const absl::Status call_status = StatusOf(response);
+  if (!call_status.ok()) {
+    status.error = absl::StrCat(call_status.message());
     return status;
   }
-  const auto json = nlohmann::json::parse(answer.body, nullptr, false);
+  const auto json = nlohmann::json::parse(response.body, nullptr, false);
   if (!json.is_object()) {
-    status.error = "the answer is not readable";
+    status.error = "the response is malformed";
     return status;
   }
   try {
@@ -56,27 +57,28 @@
     status.fleet_version = json.value("fleet_version", std::uint64_t{0});
     status.ready = json.value("ready", false);
     status.draining = json.value("draining", false);
-    status.body = answer.body;
+    status.body = response.body;
     status.available = true;
   } catch (const nlohmann::json::exception&) {
-    status.error = "the answer is not readable";
+    status.error = "the response is malformed";
   }
   return status;
 }
 
 absl::StatusOr<std::string> QueryRequests(const HttpExchange& exchange,
                                           const HostAccess& access) {
-  const HttpResponse answer = Ask(exchange, access, "GET", "/v1/requests");
-  const absl::Status asked = StatusOf(answer);
-  if (!asked.ok()) {
-    return asked;
+  const HttpResponse response =
+      SendRequest(exchange, access, "GET", "/v1/requests");
+  const absl::Status call_status = StatusOf(response);
+  if (!call_status.ok()) {
+    return call_status;
   }
-  return answer.body;
+  return response.body;
 }
 
 absl::Status SendDrainRequest(const HttpExchange& exchange,
                               const HostAccess& access) {
-  return StatusOf(Ask(exchange, access, "POST", "/v1/drain"));
+  return StatusOf(SendRequest(exchange, access, "POST", "/v1/drain"));
 }
 
 std::vector<std::string> SplitAddresses(std::string_view text) {
--- a/src/operators/operators.h
+++ b/src/operators/operators.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief What operators' programs share: blocking calls to the platform and to
-/// entry hosts.
+/// @brief Blocking calls to the platform and to entry hosts, shared by the
+/// operators' programs.
 #pragma once
 
 #include "operators/detail/blocking_http.h"
--- a/src/operators/platform_access.cc
+++ b/src/operators/platform_access.cc
@@ -8,13 +8,13 @@
 namespace limpetlink {
 namespace {
 
-/// An operator's program asks rarely and in bursts.
+/// An operator's program makes few calls, in bursts.
 constexpr CallBudget kOperatorBudget{50.0, 200.0, 10.0, 20.0};
 
-/// Longest pause between two looks at the client.
-constexpr std::chrono::milliseconds kLongestPause{100};
+/// Maximum time between two polls of the client.
+constexpr std::chrono::milliseconds kMaxPollInterval{100};
 
-MetadataStoreSettings SettingsFor(const std::string& url) {
+MetadataStoreSettings MakeSettings(const std::string& url) {
   MetadataStoreSettings settings;
   settings.url = url;
   settings.budget = kOperatorBudget;
@@ -39,32 +39,33 @@
                                WaitHooks hooks)
     : exchange(std::move(exchange)),
       hooks(std::move(hooks)),
-      client(SettingsFor(url), [this] { return CallId{++this->last_call}; }) {}
+      client(MakeSettings(url), [this] { return CallId{++this->last_call}; }) {}
 
 StoreResult PlatformAccess::Get(const ObjectKey& key) {
-  return this->RunToEnd(this->client.Get(this->hooks.now(), key));
+  return this->RunToCompletion(this->client.Get(this->hooks.now(), key));
 }
 
 StoreResult PlatformAccess::List(const std::string& kind,
                                  const std::string& prefix,
                                  const std::string& after,
                                  std::uint32_t limit) {
-  return this->RunToEnd(
+  return this->RunToCompletion(
       this->client.List(this->hooks.now(), kind, prefix, after, limit));
 }
 
 StoreResult PlatformAccess::Hosts() {
-  return this->RunToEnd(this->client.Hosts(this->hooks.now()));
+  return this->RunToCompletion(this->client.Hosts(this->hooks.now()));
 }
 
 ApplyResult PlatformAccess::Apply(const FleetChange& change, Duration limit) {
   ApplyFleet apply(&this->client, change, limit);
   apply.Start(this->hooks.now());
   while (!apply.Result()) {
-    const bool moved = this->Advance([&](const StoreResult& result) {
-      apply.OnPlatform(this->hooks.now(), result);
-    });
-    if (!moved && !apply.Result()) {
+    const bool progressed =
+        this->RunPendingCalls([&](const StoreResult& result) {
+          apply.OnPlatform(this->hooks.now(), result);
+        });
+    if (!progressed && !apply.Result()) {
       this->SleepUntil(std::min(apply.NextWakeup(), this->client.NextWakeup()));
       apply.Tick(this->hooks.now());
     }
@@ -72,53 +73,54 @@
   return *apply.Result();
 }
 
-void PlatformAccess::Carry(const HttpCall& call) {
-  const HttpResponse answer = this->exchange(call);
+void PlatformAccess::Execute(const HttpCall& call) {
+  const HttpResponse response = this->exchange(call);
   const Instant now = this->hooks.now();
-  if (answer.status != 0) {
-    this->client.OnHead(now, {call.id, answer.status, answer.headers});
+  if (response.status != 0) {
+    this->client.OnHead(now, {call.id, response.status, response.headers});
   }
-  if (!answer.body.empty()) {
-    this->client.OnChunk(now, {call.id, answer.body});
+  if (!response.body.empty()) {
+    this->client.OnChunk(now, {call.id, response.body});
   }
-  this->client.OnDone(now, {call.id, answer.end});
+  this->client.OnDone(now, {call.id, response.end});
 }
 
-/// Carries out what the client ordered and hands over its results.
-/// @return whether anything happened
-bool PlatformAccess::Advance(const TakeResult& take) {
+/// Executes the client's pending calls and passes its results to the handler.
+/// @return whether there were any calls or results
+bool PlatformAccess::RunPendingCalls(const ResultHandler& handler) {
   const Actions actions = this->client.TakeActions();
   for (const Action& action : actions) {
     if (const auto* call = std::get_if<HttpCall>(&action)) {
-      this->Carry(*call);
+      this->Execute(*call);
     }
   }
   const std::vector<StoreResult> results = this->client.TakeResults();
   for (const StoreResult& result : results) {
-    take(result);
+    handler(result);
   }
   return !actions.empty() || !results.empty();
 }
 
 void PlatformAccess::SleepUntil(Instant until) {
-  const Instant soon = this->hooks.now() + kLongestPause;
-  this->hooks.sleep(std::min(until, soon));
+  const Instant latest = this->hooks.now() + kMaxPollInterval;
+  this->hooks.sleep(std::min(until, latest));
   this->client.Tick(this->hooks.now());
 }
 
-StoreResult PlatformAccess::RunToEnd(StoreOp op) {
-  std::optional<StoreResult> ended;
-  while (!ended) {
-    const bool moved = this->Advance([&](const StoreResult& result) {
-      if (result.op == op) {
-        ended = result;
-      }
-    });
-    if (!moved) {
+StoreResult PlatformAccess::RunToCompletion(StoreOp op) {
+  std::optional<StoreResult> completed;
+  while (!completed) {
+    const bool progressed =
+        this->RunPendingCalls([&](const StoreResult& result) {
+          if (result.op == op) {
+            completed = result;
+          }
+        });
+    if (!progressed) {
       this->SleepUntil(this->client.NextWakeup());
     }
   }
-  return *ended;
+  return *completed;
 }
 
 }  // namespace limpetlink
