--- a/programs/limpetctl/document_commands.cc
+++ b/programs/limpetctl/document_commands.cc
@@ -75,7 +75,7 @@
 absl::StatusOr<FleetDocument> DocumentInForce(const CtlContext& context,
                                               const std::string& name) {
   PlatformAccess platform = OpenPlatform(context);
-  const auto stored = FetchFleet(&platform, name);
+  const auto stored = ReadStoredFleet(&platform, name);
   if (!stored.ok()) {
     return stored.status();
   }
@@ -220,7 +220,7 @@
     return WrongUse("export needs --fleet");
   }
   PlatformAccess platform = OpenPlatform(context);
-  const auto stored = FetchFleet(&platform, settings.fleet);
+  const auto stored = ReadStoredFleet(&platform, settings.fleet);
   if (!stored.ok()) {
     return Failure(stored.status());
   }
@@ -254,7 +254,7 @@
     return WrongUse("history needs --fleet");
   }
   PlatformAccess platform = OpenPlatform(context);
-  const auto stored = FetchFleet(&platform, settings.fleet);
+  const auto stored = ReadStoredFleet(&platform, settings.fleet);
   if (!stored.ok()) {
     return Failure(stored.status());
   }
--- a/src/configuration/apply.cc
+++ b/src/configuration/apply.cc
@@ -210,25 +210,25 @@
   const auto is_own = [this](std::string_view json) {
     return this->IsOwn(json);
   };
-  const WriteVerdict verdict = ResolveByReadBack(condition, read, is_own);
+  const WriteOutcome verdict = ResolveByReadBack(condition, read, is_own);
   if (Succeeded(read.status)) {
     this->latest_version = read.version;
     this->latest_text = read.bytes;
   }
   switch (verdict) {
-    case WriteVerdict::kTookEffect:
+    case WriteOutcome::kApplied:
       this->FinishApplied(now, base + 1);
       return;
-    case WriteVerdict::kNotTaken:
+    case WriteOutcome::kNotApplied:
       this->FinishConflict();
       return;
-    case WriteVerdict::kRepeat:
+    case WriteOutcome::kRetry:
       this->StartStep(now, Step::kWrite);
       return;
-    case WriteVerdict::kCovered:
+    case WriteOutcome::kUndetermined:
       this->StartStep(now, Step::kReadHistory);
       return;
-    case WriteVerdict::kNoAnswer:
+    case WriteOutcome::kReadFailed:
       this->ScheduleRetry(now);
       return;
   }
--- a/src/configuration/tests/apply_test.cc
+++ b/src/configuration/tests/apply_test.cc
@@ -89,7 +89,7 @@
     } else {
       const auto response = this->platform.Serve(call);
       this->RecordOwnVersion();
-      if (fate == CallFate::kAnswerLost) {
+      if (fate == CallFate::kResponseLost) {
         this->client->OnDone(this->now, {call.id, HttpEnd::kCut});
       } else {
         this->Respond(call, response);
@@ -102,7 +102,7 @@
     }
   }
 
-  void Respond(const HttpCall& call, const FakePlatform::Answer& response) {
+  void Respond(const HttpCall& call, const FakePlatform::Response& response) {
     for (const Event& event : testing::ToEvents(call.id, response)) {
       if (const auto* head = std::get_if<HttpHead>(&event)) {
         this->client->OnHead(this->now, *head);
@@ -174,7 +174,7 @@
 TEST_CASE(
     "fleet change, every failure at every call and other changes after every "
     "call, reports its real outcome") {
-  constexpr CallFate kFates[] = {CallFate::kServed, CallFate::kAnswerLost,
+  constexpr CallFate kFates[] = {CallFate::kServed, CallFate::kResponseLost,
                                  CallFate::kHangs,  CallFate::kNotConnected,
                                  CallFate::kOutage, CallFate::kThrottled};
   int unknown = 0;
--- a/src/configuration/tests/store_test.cc
+++ b/src/configuration/tests/store_test.cc
@@ -30,7 +30,7 @@
   }
 
   /// @brief Responds to the pending call, if there is one.
-  void Respond(const testing::FakePlatform::Answer& response) {
+  void Respond(const testing::FakePlatform::Response& response) {
     for (const Action& action : this->client.TakeActions()) {
       const auto* call = std::get_if<HttpCall>(&action);
       if (call == nullptr) {
--- a/src/leases/tests/lease_test.cc
+++ b/src/leases/tests/lease_test.cc
@@ -113,7 +113,7 @@
     this->queue.emplace(
         this->now + delay, [this, index, call, responds, reached] {
           const auto response = reached ? this->platform.Serve(call)
-                                        : testing::FakePlatform::Answer{};
+                                        : testing::FakePlatform::Response{};
           MetadataStoreClient& client = *this->holders[index].client;
           const Instant local = this->Local(index);
           if (!responds) {
--- a/src/metadata_store/tests/read_back_test.cc
+++ b/src/metadata_store/tests/read_back_test.cc
@@ -16,22 +16,23 @@
     return read;
   }
 
-  static WriteVerdict Resolve(const StoreResult& read) {
+  static WriteOutcome Resolve(const StoreResult& read) {
     const auto is_own = [](std::string_view bytes) { return bytes == "mine"; };
     return ResolveByReadBack(WriteCondition::IfVersion(4), read, is_own);
   }
 };
 
 TEST_CASE_METHOD(ReadBackFixture,
-                 "read back, each state of the object, gives the verdict that "
-                 "is true of the lost write") {
+                 "read back, each state of the object, yields the outcome of "
+                 "the lost write") {
   using Status = StoreStatus;
-  CHECK(Resolve(Read(Status::kOk, 5, "mine")) == WriteVerdict::kTookEffect);
-  CHECK(Resolve(Read(Status::kOk, 5, "other")) == WriteVerdict::kNotTaken);
-  CHECK(Resolve(Read(Status::kOk, 4, "base")) == WriteVerdict::kRepeat);
-  CHECK(Resolve(Read(Status::kOk, 6, "other")) == WriteVerdict::kCovered);
-  CHECK(Resolve(Read(Status::kUnavailable, 0, "")) == WriteVerdict::kNoAnswer);
-  CHECK(Resolve(Read(Status::kAbsent, 0, "")) == WriteVerdict::kNotTaken);
+  CHECK(Resolve(Read(Status::kOk, 5, "mine")) == WriteOutcome::kApplied);
+  CHECK(Resolve(Read(Status::kOk, 5, "other")) == WriteOutcome::kNotApplied);
+  CHECK(Resolve(Read(Status::kOk, 4, "base")) == WriteOutcome::kRetry);
+  CHECK(Resolve(Read(Status::kOk, 6, "other")) == WriteOutcome::kUndetermined);
+  CHECK(Resolve(Read(Status::kUnavailable, 0, "")) ==
+        WriteOutcome::kReadFailed);
+  CHECK(Resolve(Read(Status::kAbsent, 0, "")) == WriteOutcome::kNotApplied);
 }
 
 }  // namespace
