--- a/src/membership/detail/member.h
+++ b/src/membership/detail/member.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What is known of one entry host.
+/// @brief Record of one entry host, and broadcasts.
 #pragma once
 
 #include <cstdint>
@@ -9,13 +9,13 @@
 
 namespace limpetlink {
 
-/// @brief State of a host as others see it; for one incarnation a later row
-/// overrides an earlier one.
+/// @brief State of a host as other hosts see it. Within one incarnation, a
+/// later enumerator overrides an earlier one.
 enum class MemberState {
   kAlive,
-  kSuspect,  ///< did not answer; still counts as live until the time passes
-  kDead,     ///< did not answer and did not refute the suspicion in time
-  kLeft,     ///< announced that it leaves
+  kSuspect,  ///< did not respond; counts as live until the suspicion expires
+  kDead,     ///< did not respond or refute the suspicion in time
+  kLeft,     ///< announced its departure
 };
 
 template <>
@@ -27,28 +27,28 @@
       {MemberState::kLeft, "left"}};
 };
 
-/// @brief One host's record, as it spreads.
+/// @brief Record of a host, as hosts exchange it.
 struct Member {
   HostId id;
-  std::string address;             ///< "ip:port"
-  FailureDomainId failure_domain;  ///< where it stands
-  std::uint64_t boot = 0;          ///< differs for each start of the process
-  std::uint64_t incarnation = 0;   ///< raised only by the host itself
+  std::string address;  ///< "ip:port"
+  FailureDomainId failure_domain;
+  std::uint64_t boot = 0;         ///< identifies the process of the host
+  std::uint64_t incarnation = 0;  ///< incremented only by the host itself
   MemberState state = MemberState::kAlive;
 };
 
-/// @brief Whether record `a` overrides record `b` of the same host.
+/// @brief Returns whether record `a` overrides record `b` of the same host.
 bool Overrides(const Member& a, const Member& b);
 
-/// @brief Whether a state counts as live.
+/// @brief Returns whether a state counts as live.
 inline bool IsLive(MemberState state) {
   return state == MemberState::kAlive || state == MemberState::kSuspect;
 }
 
-/// @brief A small item that every host is to learn. A higher version of the
-/// same topic and key replaces a lower one.
+/// @brief A small item that is disseminated to every host. A higher version of
+/// the same topic and key replaces a lower one.
 struct Broadcast {
-  std::uint32_t topic = 0;  ///< chosen by the user of the broadcast
+  std::uint32_t topic = 0;  ///< chosen by the sending component
   std::string key;          ///< at most 128 bytes
   std::uint64_t version = 0;
   std::string bytes;  ///< at most 256 bytes
--- a/src/membership/detail/messages.h
+++ b/src/membership/detail/messages.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Messages between the memberships of two hosts, and their CBOR.
+/// @brief Gossip messages between entry hosts, and their CBOR.
 #pragma once
 
 #include <cstdint>
@@ -12,13 +12,13 @@
 
 namespace limpetlink {
 
-/// @brief What a message is for.
+/// @brief Purpose of a message.
 enum class GossipKind {
-  kProbe,         ///< asks for an ack
-  kAck,           ///< answers a probe
-  kProbeRequest,  ///< asks the receiver to probe `target` and to relay the ack
+  kProbe,         ///< requests an ack
+  kAck,           ///< responds to a probe
+  kProbeRequest,  ///< requests a probe of `target` and a relayed ack
   kGossip,        ///< carries records and broadcasts only
-  kSyncRequest,   ///< digests of the sender's table by buckets
+  kSyncRequest,   ///< digests of the sender's table, one for each bucket
   kSyncReply,     ///< records of the buckets that differ
 };
 
@@ -33,7 +33,7 @@
       {GossipKind::kSyncReply, "sync_reply"}};
 };
 
-/// @brief One message. Members that a kind does not need stay empty.
+/// @brief A gossip message. Members that a kind does not use are empty.
 struct GossipMessage {
   GossipKind kind = GossipKind::kGossip;
   std::uint64_t sequence = 0;      ///< of the probe
@@ -42,14 +42,14 @@
   std::vector<Member> members;
   std::vector<Broadcast> broadcasts;
   std::vector<std::uint64_t> buckets;  ///< of a sync request
-  std::string payload;                 ///< the user's bytes on probes and acks
+  std::string payload;  ///< of probes and acks, set by SetProbePayload
 };
 
-/// @brief Writes a message as CBOR.
+/// @brief Encodes a message as CBOR.
 std::string EncodeGossip(const GossipMessage& message);
 
-/// @brief Reads a message within bounds.
-/// @return the message, or peer.101
+/// @brief Decodes a message within limits.
+/// @return the message; peer.101 when malformed or beyond the limits
 absl::StatusOr<GossipMessage> DecodeGossip(std::string_view bytes);
 
 }  // namespace limpetlink
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Which entry hosts are live, found by probes between them with the
-/// platform's host list as a second source; and small broadcasts between them.
+/// @brief Membership of the entry hosts: detects live hosts by probes, with the
+/// platform's host list as a second source, and disseminates small broadcasts.
 #pragma once
 
 #include "membership/detail/member.h"
--- a/src/membership/messages.cc
+++ b/src/membership/messages.cc
@@ -9,7 +9,7 @@
 
 using Json = nlohmann::json;
 
-constexpr CborLimits kBounds{256UL * 1024UL, 3, 32768};
+constexpr CborLimits kLimits{256UL * 1024UL, 3, 32768};
 constexpr std::size_t kMembers = 8;
 constexpr std::size_t kMaxText = 128;       ///< bytes of an id, key or address
 constexpr std::size_t kMaxBroadcast = 256;  ///< bytes
@@ -126,7 +126,7 @@
 }
 
 absl::StatusOr<GossipMessage> DecodeGossip(std::string_view bytes) {
-  const auto root = DecodeCbor(bytes, kBounds);
+  const auto root = DecodeCbor(bytes, kLimits);
   if (!root.ok()) {
     return root.status();
   }
--- a/src/membership/probe.cc
+++ b/src/membership/probe.cc
@@ -6,10 +6,10 @@
 namespace limpetlink {
 namespace {
 
-constexpr std::uint32_t kMaxAwareness = 4;
-constexpr std::uint32_t kSilentProbesBelieved = 3;
-constexpr std::size_t kCandidatesAtStart = 3;
-constexpr Duration kCandidatesAtStartEvery = std::chrono::milliseconds(500);
+constexpr std::uint32_t kMaxHealthScore = 4;
+constexpr std::uint32_t kMaxIgnoredProbeFailures = 3;
+constexpr std::size_t kJoiningProbeCount = 3;
+constexpr Duration kJoiningProbeInterval = std::chrono::milliseconds(500);
 
 constexpr std::size_t kMaxPayload = 64;  ///< bytes
 
@@ -27,8 +27,8 @@
 
 void Membership::ProbeCandidates(Instant now) {
   const bool joining = !this->current || this->live.size() <= 1;
-  const std::size_t count = joining ? kCandidatesAtStart : 1;
-  this->next_candidate = now + (joining ? kCandidatesAtStartEvery
+  const std::size_t count = joining ? kJoiningProbeCount : 1;
+  this->next_candidate = now + (joining ? kJoiningProbeInterval
                                         : this->settings.dead_probe_interval);
   std::vector<HostId> pool;
   for (const HostId& host : this->candidates) {
@@ -43,7 +43,7 @@
   }
 }
 
-std::string Membership::Payload(Instant now) const {
+std::string Membership::MakeBoundedPayload(Instant now) const {
   std::string bytes = this->make_payload ? this->make_payload(now) : "";
   return bytes.size() <= kMaxPayload ? bytes : std::string();
 }
@@ -58,65 +58,67 @@
   message.kind = GossipKind::kProbe;
   message.sequence = sequence;
   message.table_digest = this->TableDigest();
-  message.payload = this->Payload(now);
+  message.payload = this->MakeBoundedPayload(now);
   message.members.push_back(this->self);
   this->SendTo(to, std::move(message));
 }
 
-void Membership::CheckProbes(Instant now) {
+void Membership::CheckProbeTimeouts(Instant now) {
   std::vector<std::uint64_t> ended;
   for (auto& [sequence, probe] : this->probes) {
     const Duration waited = now - probe.sent;
-    if (waited >= this->settings.probe_interval * this->Stretch()) {
+    if (waited >= this->settings.probe_interval * this->TimeoutMultiplier()) {
       ended.push_back(sequence);
-    } else if (!probe.indirect &&
-               waited >= this->settings.probe_timeout * this->Stretch()) {
+    } else if (!probe.indirect && waited >= this->settings.probe_timeout *
+                                                this->TimeoutMultiplier()) {
       probe.indirect = true;
-      this->AskHelpers(probe, sequence);
+      this->RequestIndirectProbes(probe, sequence);
     }
   }
   for (const std::uint64_t sequence : ended) {
     const Probe probe = this->probes.at(sequence);
     this->probes.erase(sequence);
-    this->FailProbe(now, probe);
+    this->HandleProbeTimeout(now, probe);
   }
 }
 
-void Membership::AskHelpers(const Probe& probe, std::uint64_t sequence) {
+void Membership::RequestIndirectProbes(const Probe& probe,
+                                       std::uint64_t sequence) {
   const auto target = this->records.find(probe.target);
   const bool live =
       target != this->records.end() && IsLive(target->second.member.state);
   if (!live) {
     return;
   }
-  std::uint32_t asked = 0;
+  std::uint32_t requested = 0;
   for (std::size_t i = 0; i < this->shuffled.size(); ++i) {
     const std::size_t at = (this->gossip_cursor + i) % this->shuffled.size();
-    const HostId helper = this->shuffled[at];
-    if (helper == probe.target || asked == this->settings.indirect_probes) {
+    const HostId relay = this->shuffled[at];
+    if (relay == probe.target || requested == this->settings.indirect_probes) {
       continue;
     }
-    ++asked;
+    ++requested;
     GossipMessage message;
     message.kind = GossipKind::kProbeRequest;
     message.sequence = sequence;
     message.target = probe.target;
-    this->SendTo(helper, std::move(message));
+    this->SendTo(relay, std::move(message));
   }
 }
 
-void Membership::FailProbe(Instant now, const Probe& probe) {
+void Membership::HandleProbeTimeout(Instant now, const Probe& probe) {
   const auto found = this->records.find(probe.target);
-  const bool counts = probe.relay_to.value.empty() &&
-                      found != this->records.end() &&
-                      found->second.member.state == MemberState::kAlive;
-  if (!counts) {
+  const bool evaluated = probe.relay_to.value.empty() &&
+                         found != this->records.end() &&
+                         found->second.member.state == MemberState::kAlive;
+  if (!evaluated) {
     return;
   }
-  const bool silent = this->last_heard < probe.sent;
-  if (silent && this->silent_probes < kSilentProbesBelieved) {
-    ++this->silent_probes;  // perhaps this host is the one cut off
-    this->awareness = std::min(kMaxAwareness, this->awareness + 1);
+  const bool nothing_received = this->last_received < probe.sent;
+  if (nothing_received &&
+      this->ignored_probe_failures < kMaxIgnoredProbeFailures) {
+    ++this->ignored_probe_failures;  // this host may be the isolated one
+    this->health_score = std::min(kMaxHealthScore, this->health_score + 1);
     return;
   }
   this->Suspect(now, probe.target);
@@ -136,7 +138,7 @@
   ack.kind = GossipKind::kAck;
   ack.sequence = message.sequence;
   ack.table_digest = this->TableDigest();
-  ack.payload = this->Payload(now);
+  ack.payload = this->MakeBoundedPayload(now);
   this->SendTo(from, std::move(ack));
 }
 
@@ -144,16 +146,16 @@
                            const GossipMessage& message) {
   const auto found = this->probes.find(message.sequence);
   const bool relayed = !message.target.value.empty();
-  const HostId& answered = relayed ? message.target : from;
-  if (found == this->probes.end() || found->second.target != answered) {
+  const HostId& responder = relayed ? message.target : from;
+  if (found == this->probes.end() || found->second.target != responder) {
     return;
   }
   const Probe probe = found->second;
   this->probes.erase(found);
-  this->awareness -= this->awareness > 0 ? 1 : 0;
+  this->health_score -= this->health_score > 0 ? 1 : 0;
   if (!this->current && !relayed && now >= this->next_sync) {
     this->next_sync = now + this->settings.probe_timeout;
-    this->SyncWith(from);
+    this->RequestSync(from);
   }
   if (probe.relay_to.value.empty()) {
     return;
--- a/src/membership/sync.cc
+++ b/src/membership/sync.cc
@@ -5,7 +5,7 @@
 namespace limpetlink {
 namespace {
 
-constexpr Duration kMismatchBefore = std::chrono::seconds(3);
+constexpr Duration kMinMismatchTime = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -33,21 +33,21 @@
   return digest;
 }
 
-void Membership::MaybeSync(Instant now, const HostId& from,
-                           std::uint64_t digest) {
+void Membership::RequestSyncOnMismatch(Instant now, const HostId& from,
+                                       std::uint64_t digest) {
   if (digest == this->TableDigest()) {
     this->last_match = now;
     return;
   }
-  const bool lasting = now - this->last_match >= kMismatchBefore;
+  const bool lasting = now - this->last_match >= kMinMismatchTime;
   if (!lasting || now < this->next_sync) {
     return;
   }
   this->next_sync = now + this->settings.sync_interval;
-  this->SyncWith(from);
+  this->RequestSync(from);
 }
 
-void Membership::SyncWith(const HostId& to) {
+void Membership::RequestSync(const HostId& to) {
   ++this->counters.syncs;
   GossipMessage request;
   request.kind = GossipKind::kSyncRequest;
@@ -64,15 +64,15 @@
     ++this->counters.rejected_messages;
     return;
   }
-  std::vector<std::uint64_t> own = this->bucket_digests;
-  own[BucketOf(this->self.id)] ^= DigestOf(this->self);
+  std::vector<std::uint64_t> local_digests = this->bucket_digests;
+  local_digests[BucketOf(this->self.id)] ^= DigestOf(this->self);
   GossipMessage reply;
   reply.kind = GossipKind::kSyncReply;
   reply.sequence = message.sequence;
   reply.members.push_back(this->self);
   for (const auto& [id, record] : this->records) {
     const std::size_t bucket = BucketOf(id);
-    const bool differs = own[bucket] != message.buckets[bucket];
+    const bool differs = local_digests[bucket] != message.buckets[bucket];
     if (differs && !record.unverified) {
       reply.members.push_back(record.member);
     }
@@ -81,8 +81,8 @@
 }
 
 void Membership::HandleSyncReply(Instant now, const GossipMessage& message) {
-  if (message.sequence < this->current_from) {
-    return;  // answers a question from before the host was frozen
+  if (message.sequence < this->first_valid_sync) {
+    return;  // responds to a request from before this host was frozen
   }
   this->current = true;
   this->last_match = now;
