--- a/src/neighbours/detail/message.h
+++ b/src/neighbours/detail/message.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What entry hosts tell each other.
+/// @brief Messages between neighbouring entry hosts, and their CBOR.
 #pragma once
 
 #include <cstdint>
@@ -14,66 +14,68 @@
 
 namespace limpetlink {
 
-/// @brief A start of a worker that leaves.
+/// @brief One incarnation of a worker that is leaving.
 struct LeavingWorker {
   UpstreamId worker;
-  std::int64_t started_at = 0;  ///< as in its registration
+  std::int64_t started_at = 0;  ///< Unix milliseconds, from its registration
   Duration age{0};              ///< since the first host noticed
 };
 
-/// @brief Where a host can be told things.
+/// @brief A host and the address at which it receives neighbour messages.
 struct NeighbourAddress {
   HostId host;
   std::string address;  ///< "ip:port"
 };
 
-/// @brief A host of another failure domain that tells its own what it is told.
+/// @brief The contact host of another failure domain. It relays the messages
+/// that it receives to the hosts of its own domain.
 struct DomainContact {
   FailureDomainId domain;
   NeighbourAddress host;
 };
 
-/// @brief What all hosts of a failure domain have at the workers.
+/// @brief The load that all hosts of a failure domain place on the workers.
 struct DomainLoads {
   FailureDomainId domain;
   std::vector<OwnLoad> loads;
 };
 
-/// @brief A linearizable call of a host, as it tells others.
+/// @brief A linearizable read of the metadata store, as a host advertises it.
 struct AdvertisedRead {
   std::string kind;
-  std::uint64_t changed_at = 0;  ///< no change of the kind lies between this
+  std::uint64_t changed_at = 0;  ///< the kind did not change between this
   std::uint64_t revision = 0;    ///< and this revision
-  Duration age{0};               ///< since the call left
+  Duration age{0};               ///< since the read was sent
 };
 
-/// @brief A host's whole state as its neighbours need it. Each message replaces
-/// the one before, so that a lost datagram costs its own news only.
+/// @brief The complete state of a host that its neighbours need. Each message
+/// replaces the previous one, so a lost datagram loses only its own update.
 struct NeighbourMessage {
   HostId host;
   FailureDomainId domain;
   std::string address;
-  std::uint64_t sequence = 0;  ///< rises with each message of a start
-  bool requests_neighbours =
-      false;  ///< wants to be told who its neighbours are
+  std::uint64_t sequence = 0;  ///< increases with each message of a process
+  bool requests_neighbours = false;  ///< asks for a list of neighbours
   std::vector<OwnLoad> worker_loads;
   std::vector<LeavingWorker> leaving;
-  std::vector<NeighbourAddress> neighbours;  ///< the answer to a question
-  std::vector<DomainContact> contacts;       ///< in the same answer
-  /// The sender's clock; it comes back to the sender in `echo_ms`.
+  std::vector<NeighbourAddress> neighbours;  ///< response to a request
+  std::vector<DomainContact> contacts;       ///< in the same response
+  /// The sender's clock; the receiver returns it in `echo_ms`.
   std::int64_t sent_at_ms = 0;
-  /// The receiver's clock in its last message that the sender has. Ages in
-  /// this message are no older than that by the receiver's clock, however long
-  /// the message was on its way and whoever was frozen meanwhile.
+  /// The receiver's clock, from its last message to the sender. The receiver
+  /// subtracts the ages of the reads from this value. The result is no later
+  /// than the actual times by its own clock, however long the message was in
+  /// transit and whichever host was frozen in the meantime.
   std::optional<std::int64_t> echo_ms;
   std::vector<AdvertisedRead> linearizable_reads;
   std::optional<DomainLoads> domain_loads;  ///< of a domain, not of the host
 };
 
-/// @brief Writes a message as CBOR.
+/// @brief Encodes a message as CBOR.
 std::string EncodeNeighbourMessage(const NeighbourMessage& message);
 
-/// @brief Reads a message; every count and length is bounded.
+/// @brief Decodes a message; every count and length is limited.
+/// @return the message; peer.101 when malformed or outside the limits
 absl::StatusOr<NeighbourMessage> DecodeNeighbourMessage(std::string_view bytes);
 
 }  // namespace limpetlink
--- a/src/neighbours/detail/neighbours.h
+++ b/src/neighbours/detail/neighbours.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Keeps entry hosts in touch.
+/// @brief Exchange of load and worker state between entry hosts.
 #pragma once
 
 #include <cstdint>
@@ -15,119 +15,132 @@
 
 namespace limpetlink {
 
-/// @brief What a host's Neighbours are built with.
+/// @brief Settings of a host's Neighbours.
 struct NeighbourSettings {
   HostId self;
   FailureDomainId domain;
-  std::string address;             ///< own, "ip:port"; empty: no neighbours
+  std::string address;  ///< of this host, "ip:port"; empty disables neighbours
   std::vector<std::string> seeds;  ///< hosts that know others; may be down
 };
 
-/// @brief What a host tells of itself and learns from others.
+/// @brief Callbacks that supply this host's state and receive that of others.
 struct NeighbourHooks {
+  /// Returns the load that this host places on the workers.
   std::function<std::vector<OwnLoad>()> local_loads;
+  /// Receives the load that a neighbour places on the workers.
   std::function<void(Instant, const HostId&, const std::vector<OwnLoad>&)>
       host_loads;
-  std::function<void(const HostId&)>
-      neighbour_found;  ///< a neighbour was heard of
-  std::function<void(const HostId&)>
-      neighbour_lost;  ///< a neighbour fell silent
+  std::function<void(const HostId&)> neighbour_found;
+  std::function<void(const HostId&)> neighbour_lost;  ///< is unresponsive
   std::function<void(Instant, const LeavingWorker&)> worker_leaving;
-  /// Linearizable calls of this host.
+  /// Returns the last linearizable reads of this host.
   std::function<std::vector<AdvertisedRead>(Instant)> local_reads;
-  /// One of a neighbour; it left no earlier than the instant, by this clock.
+  /// Receives a read of a neighbour. By this host's clock, the read was sent no
+  /// earlier than the given instant.
   std::function<void(Instant, const AdvertisedRead&)> neighbour_read;
-  /// What all hosts of the own failure domain have at the workers.
+  /// Returns the load of all hosts of this host's failure domain.
   std::function<std::vector<OwnLoad>()> own_domain_loads;
-  /// The same of another failure domain; replaces what was told before.
+  /// Receives the load of another failure domain, which replaces its previous
+  /// one.
   std::function<void(Instant, const DomainLoads&)> remote_domain_loads;
-  std::function<void(const FailureDomainId&)> domain_lost;  ///< silent
+  /// Called when no loads of a failure domain were received in time.
+  std::function<void(const FailureDomainId&)> domain_lost;
 };
 
-/// @brief Exchanges state with the live hosts of the own failure domain over
-/// datagrams: at once when it changes, and every second. Seeds are asked who
-/// the neighbours are. The host of a failure domain with the lowest id tells
-/// one host of each other domain what its own has at the workers, and that
-/// one tells its neighbours. All of it is advice: a host that knows no
-/// neighbour serves as well, and places worse.
+/// @brief Exchanges state with the live hosts of the same failure domain over
+/// datagrams: immediately after a change, and every second. Requests the list
+/// of neighbours from the seeds.
+///
+/// In each failure domain the host with the lowest id sends the domain's loads
+/// to the contact host of every other domain, which relays them to its
+/// neighbours. The exchanged state is advisory: a host without neighbours
+/// serves requests as well, but places them less evenly.
 class Neighbours {
  public:
   Neighbours(NeighbourSettings settings, NeighbourHooks hooks)
       : settings(std::move(settings)), hooks(std::move(hooks)) {}
 
-  /// @brief Takes a datagram.
-  /// @return whether it could be read
+  /// @brief Handles a datagram.
+  /// @return whether it could be decoded
   bool OnFrame(Instant now, const PeerFrame& frame);
 
-  /// @brief The own state changed; neighbours are told with the next Tick.
+  /// @brief Schedules a state message to the neighbours after a change here.
   void OnStateChanged(Instant now);
 
-  /// @brief A linearizable call of this host was answered.
-  void OnLinearizableRead(Instant now) { this->next_proofs = now; }
+  /// @brief Advertises a completed linearizable read with the next Tick.
+  void OnLinearizableRead(Instant now) { this->next_linearizable_reads = now; }
 
-  /// @return whether this host speaks for others: it has the lowest id
-  bool IsDomainLeader() const { return !this->known.empty() && this->Speaks(); }
+  /// @return whether this host has neighbours and the lowest id among them
+  bool IsDomainLeader() const {
+    return !this->neighbours.empty() && this->HasLowestId();
+  }
 
-  /// @brief This host noticed that a worker leaves; others are told.
+  /// @brief Notifies the other hosts of a leaving worker that this host
+  /// noticed.
   void OnWorkerLeaving(Instant now, const LeavingWorker& worker);
 
+  /// @brief Sends the messages that are due and removes unresponsive hosts.
   void Tick(Instant now);
+
+  /// @return the latest time at which Tick must be called; kNever when
+  /// neighbours are disabled
   Instant NextWakeup() const;
 
-  std::size_t Count() const { return this->known.size(); }
+  std::size_t Count() const { return this->neighbours.size(); }
   Actions TakeActions() { return std::exchange(this->actions, {}); }
 
  private:
-  struct Known {
+  struct Neighbour {
     std::string address;
     std::uint64_t sequence = 0;
-    Instant heard{};
-    std::optional<std::int64_t> clock_ms;  ///< its own, in its last message
+    Instant last_received{};
+    std::optional<std::int64_t> peer_clock_ms;  ///< from its last message
   };
-  struct Elsewhere {
+  struct Requester {
     FailureDomainId domain;
     std::string address;
-    Instant heard{};
+    Instant last_received{};
   };
   struct Contact {
     NeighbourAddress host;
-    Instant heard{};
+    Instant last_received{};
   };
-  struct Told {
+  struct LeavingRecord {
     LeavingWorker worker;
-    Instant noticed{};
-    bool heard = false;  ///< from a neighbour, who tells the others itself
+    Instant noticed_at{};
+    bool received = false;  ///< from a neighbour, which notifies the others
   };
 
-  NeighbourMessage Make(Instant now, bool asks);
-  void TellProofs(Instant now);
-  void TakeProofs(Instant now, const NeighbourMessage& message);
-  /// @param heard those that neighbours told of, too
-  std::vector<LeavingWorker> Leaving(Instant now, bool heard) const;
-  void HearLeaving(Instant now, const LeavingWorker& worker);
+  NeighbourMessage MakeMessage(Instant now, bool requests_neighbours);
+  void SendLinearizableReads(Instant now);
+  void HandleLinearizableReads(Instant now, const NeighbourMessage& message);
+  /// @param include_received also returns workers that neighbours reported
+  std::vector<LeavingWorker> LeavingWorkers(Instant now,
+                                            bool include_received) const;
+  void HandleLeaving(Instant now, const LeavingWorker& worker);
   void SendTo(const std::string& address, const NeighbourMessage& message);
-  void Answer(Instant now, const NeighbourMessage& question);
-  void TakeContact(Instant now, const DomainContact& contact);
-  void TakeDomain(Instant now, const NeighbourMessage& message);
-  void TellDomains(Instant now);
-  void Prune(Instant now);
-  /// @return whether this host tells other domains of its own
-  bool Speaks() const;
+  void SendNeighbourList(Instant now, const NeighbourMessage& request);
+  void StoreContact(Instant now, const DomainContact& contact);
+  void HandleDomainLoads(Instant now, const NeighbourMessage& message);
+  void SendDomainLoads(Instant now);
+  void RemoveUnresponsive(Instant now);
+  /// @return whether this host sends the domain's loads to other domains
+  bool HasLowestId() const;
 
   NeighbourSettings settings;
   NeighbourHooks hooks;
-  std::map<HostId, Known> known;
-  std::map<HostId, Elsewhere> asked_here;  ///< hosts that took this for a seed
+  std::map<HostId, Neighbour> neighbours;
+  std::map<HostId, Requester> requesters;  ///< hosts that use this one as seed
   std::map<FailureDomainId, Contact> contacts;  ///< of other domains
-  std::map<FailureDomainId, Instant> domains_heard;
-  std::vector<Told> leaving;
+  std::map<FailureDomainId, Instant> domain_updates;
+  std::vector<LeavingRecord> leaving;
   std::uint64_t sequence = 0;
   Instant next_state{};
-  Instant next_question{};
-  Instant next_domains{};
-  Instant next_proofs = kNever;
-  std::optional<Instant> began;  ///< first message of this start
-  Instant last_state{};
+  Instant next_request{};
+  Instant next_domain_loads{};
+  Instant next_linearizable_reads = kNever;
+  std::optional<Instant> first_message_at;  ///< of this process
+  Instant last_state_sent{};
   Actions actions;
 };
 
--- a/src/neighbours/message.cc
+++ b/src/neighbours/message.cc
@@ -15,42 +15,45 @@
 constexpr std::uint64_t kMaxAgeMs = 60'000;
 constexpr std::uint64_t kMaxRunning = 1ULL << 20U;
 
-/// @brief Reads a message's members; one fault spoils it.
+/// @brief Reads the members of a message. `valid` becomes false with the first
+/// malformed member.
 class Reader {
  public:
   std::string Text(const Json& value) {
-    const bool readable =
+    const bool is_valid =
         value.is_string() &&
         value.get_ref<const std::string&>().size() <= kMaxText;
-    this->sound = this->sound && readable;
-    return readable ? value.get<std::string>() : std::string();
+    this->valid = this->valid && is_valid;
+    return is_valid ? value.get<std::string>() : std::string();
   }
 
-  std::uint64_t Number(const Json& value, std::uint64_t most) {
-    const bool readable =
-        value.is_number_unsigned() && value.get<std::uint64_t>() <= most;
-    this->sound = this->sound && readable;
-    return readable ? value.get<std::uint64_t>() : 0;
+  std::uint64_t Number(const Json& value, std::uint64_t max) {
+    const bool is_valid =
+        value.is_number_unsigned() && value.get<std::uint64_t>() <= max;
+    this->valid = this->valid && is_valid;
+    return is_valid ? value.get<std::uint64_t>() : 0;
   }
 
-  /// @brief Gives the rows of a list whose rows have so many columns.
+  /// @brief Returns the rows of a list, each of which must have `columns`
+  /// columns.
+  /// @return an empty list when the list is missing, too long or malformed
   const Json& Rows(const Json& root, const char* member, std::size_t columns) {
-    static const Json none = Json::array();
+    static const Json empty = Json::array();
     const auto found = root.find(member);
     if (found == root.end() || !found->is_array() || found->size() > kMaxRows) {
-      this->sound = false;
-      return none;
+      this->valid = false;
+      return empty;
     }
     for (const Json& row : *found) {
       if (!row.is_array() || row.size() != columns) {
-        this->sound = false;
-        return none;
+        this->valid = false;
+        return empty;
       }
     }
     return *found;
   }
 
-  bool sound = true;
+  bool valid = true;
 };
 
 Json EncodeLoads(const std::vector<OwnLoad>& loads) {
@@ -65,28 +68,29 @@
   return rows;
 }
 
-Json EncodeProofs(const std::vector<AdvertisedRead>& proofs) {
+Json EncodeLinearizableReads(const std::vector<AdvertisedRead>& reads) {
   Json rows = Json::array();
-  for (const AdvertisedRead& proof : proofs) {
-    // Rounded up: a proof must not look younger than it is.
+  for (const AdvertisedRead& read : reads) {
+    // Rounds up: the advertised age must not be less than the real one.
     const std::int64_t age_ms =
-        std::chrono::ceil<std::chrono::milliseconds>(proof.age).count();
-    rows.push_back({proof.kind, proof.changed_at, proof.revision, age_ms});
+        std::chrono::ceil<std::chrono::milliseconds>(read.age).count();
+    rows.push_back({read.kind, read.changed_at, read.revision, age_ms});
   }
   return rows;
 }
 
-std::vector<AdvertisedRead> ReadProofs(const Json& root, Reader* reader) {
-  std::vector<AdvertisedRead> proofs;
+std::vector<AdvertisedRead> ReadLinearizableReads(const Json& root,
+                                                  Reader* reader) {
+  std::vector<AdvertisedRead> reads;
   for (const Json& row : reader->Rows(root, "proofs", 4)) {
-    AdvertisedRead proof;
-    proof.kind = reader->Text(row[0]);
-    proof.changed_at = reader->Number(row[1], UINT64_MAX);
-    proof.revision = reader->Number(row[2], UINT64_MAX);
-    proof.age = std::chrono::milliseconds(reader->Number(row[3], kMaxAgeMs));
-    proofs.push_back(std::move(proof));
-  }
-  return proofs;
+    AdvertisedRead read;
+    read.kind = reader->Text(row[0]);
+    read.changed_at = reader->Number(row[1], UINT64_MAX);
+    read.revision = reader->Number(row[2], UINT64_MAX);
+    read.age = std::chrono::milliseconds(reader->Number(row[3], kMaxAgeMs));
+    reads.push_back(std::move(read));
+  }
+  return reads;
 }
 
 std::vector<OwnLoad> ReadLoads(const Json& root, const char* member,
@@ -137,7 +141,7 @@
                {"sent_at_ms", message.sent_at_ms}};
   if (message.echo_ms.has_value()) {
     root["echo_ms"] = *message.echo_ms;
-    root["proofs"] = EncodeProofs(message.linearizable_reads);
+    root["proofs"] = EncodeLinearizableReads(message.linearizable_reads);
   }
   if (message.domain_loads.has_value()) {
     root["loads_of"] = message.domain_loads->domain.value;
@@ -148,18 +152,18 @@
 
 absl::StatusOr<NeighbourMessage> DecodeNeighbourMessage(
     std::string_view bytes) {
-  const absl::Status unreadable =
-      MakeStatus(ErrorCode::kPeerRefused, "a neighbour's message is malformed");
-  CborLimits bounds;
-  bounds.max_bytes = kMaxBytes;
-  const absl::StatusOr<Json> decoded = DecodeCbor(bytes, bounds);
+  const absl::Status malformed =
+      MakeStatus(ErrorCode::kPeerRefused, "neighbour message is malformed");
+  CborLimits limits;
+  limits.max_bytes = kMaxBytes;
+  const absl::StatusOr<Json> decoded = DecodeCbor(bytes, limits);
   if (!decoded.ok() || !decoded->is_object()) {
-    return unreadable;
+    return malformed;
   }
   const Json& root = *decoded;
   for (const char* member : {"host", "domain", "address", "sequence", "asks"}) {
     if (!root.contains(member)) {
-      return unreadable;
+      return malformed;
     }
   }
   Reader reader;
@@ -168,12 +172,12 @@
   message.domain.value = reader.Text(root["domain"]);
   message.address = reader.Text(root["address"]);
   message.sequence = reader.Number(root["sequence"], UINT64_MAX);
-  reader.sound = reader.sound && root["asks"].is_boolean();
-  message.requests_neighbours = reader.sound && root["asks"].get<bool>();
+  reader.valid = reader.valid && root["asks"].is_boolean();
+  message.requests_neighbours = reader.valid && root["asks"].get<bool>();
   message.worker_loads = ReadLoads(root, "shares", &reader);
   for (const Json& row : reader.Rows(root, "leaving", 3)) {
-    reader.sound = reader.sound && row[1].is_number_integer();
-    if (reader.sound) {
+    reader.valid = reader.valid && row[1].is_number_integer();
+    if (reader.valid) {
       const std::chrono::milliseconds age(reader.Number(row[2], kMaxAgeMs));
       message.leaving.push_back(
           {UpstreamId{reader.Text(row[0])}, row[1].get<std::int64_t>(), age});
@@ -189,23 +193,23 @@
          {HostId{reader.Text(row[1])}, reader.Text(row[2])}});
   }
   const auto sent_at = root.find("sent_at_ms");
-  reader.sound =
-      reader.sound && sent_at != root.end() && sent_at->is_number_integer();
-  if (reader.sound) {
+  reader.valid =
+      reader.valid && sent_at != root.end() && sent_at->is_number_integer();
+  if (reader.valid) {
     message.sent_at_ms = sent_at->get<std::int64_t>();
   }
   if (const auto echo = root.find("echo_ms"); echo != root.end()) {
-    reader.sound = reader.sound && echo->is_number_integer();
-    message.echo_ms = reader.sound ? echo->get<std::int64_t>() : 0;
-    message.linearizable_reads = ReadProofs(root, &reader);
+    reader.valid = reader.valid && echo->is_number_integer();
+    message.echo_ms = reader.valid ? echo->get<std::int64_t>() : 0;
+    message.linearizable_reads = ReadLinearizableReads(root, &reader);
   }
   if (root.contains("loads_of")) {
     message.domain_loads =
         DomainLoads{FailureDomainId{reader.Text(root["loads_of"])},
                     ReadLoads(root, "loads", &reader)};
   }
-  if (!reader.sound) {
-    return unreadable;
+  if (!reader.valid) {
+    return malformed;
   }
   return message;
 }
--- a/src/neighbours/neighbours.cc
+++ b/src/neighbours/neighbours.cc
@@ -6,23 +6,23 @@
 namespace limpetlink {
 namespace {
 
-constexpr Duration kStateEvery = std::chrono::milliseconds(1000);
-// Changes closer together go out in one message.
-constexpr Duration kStateSpacing = std::chrono::milliseconds(15);
-// Three messages that did not come.
-constexpr Duration kSilence = std::chrono::milliseconds(3300);
-constexpr Duration kQuestionEvery = std::chrono::milliseconds(1000);
-constexpr Duration kQuestionEveryKnown = std::chrono::milliseconds(5000);
-constexpr Duration kAskerLife = std::chrono::milliseconds(11000);
-// A lost datagram is made up for by the next states.
-constexpr Duration kLeavingTold = std::chrono::milliseconds(2500);
-// Other domains place here only what finds no room at home; a tenth of a
-// second is a quarter of the time that an engine takes to read a prompt.
-constexpr Duration kDomainsEvery = std::chrono::milliseconds(100);
-constexpr Duration kDomainSilence = std::chrono::milliseconds(1600);
-constexpr std::size_t kMostDomains = 32;
-constexpr std::size_t kMostNeighbours = 64;
-constexpr std::size_t kMostAskers = 2048;
+constexpr Duration kStateInterval = std::chrono::milliseconds(1000);
+// Changes within this time are sent in one message.
+constexpr Duration kMinStateInterval = std::chrono::milliseconds(15);
+// Allows three missing state messages.
+constexpr Duration kNeighbourTimeout = std::chrono::milliseconds(3300);
+constexpr Duration kRequestInterval = std::chrono::milliseconds(1000);
+constexpr Duration kConnectedRequestInterval = std::chrono::milliseconds(5000);
+constexpr Duration kRequesterTimeout = std::chrono::milliseconds(11000);
+// Long enough for further state messages to make up for a lost datagram.
+constexpr Duration kLeavingNoticeLifetime = std::chrono::milliseconds(2500);
+// Other domains place requests here only when they lack capacity themselves;
+// 100 ms is a quarter of the time that an engine takes to read a prompt.
+constexpr Duration kDomainLoadsInterval = std::chrono::milliseconds(100);
+constexpr Duration kDomainTimeout = std::chrono::milliseconds(1600);
+constexpr std::size_t kMaxDomains = 32;
+constexpr std::size_t kMaxNeighbours = 64;
+constexpr std::size_t kMaxRequesters = 2048;
 
 std::int64_t InMilliseconds(Instant at) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -32,15 +32,16 @@
 
 }  // namespace
 
-NeighbourMessage Neighbours::Make(Instant now, bool asks) {
-  this->began = this->began.value_or(now);
+NeighbourMessage Neighbours::MakeMessage(Instant now,
+                                         bool requests_neighbours) {
+  this->first_message_at = this->first_message_at.value_or(now);
   NeighbourMessage message;
   message.sent_at_ms = InMilliseconds(now);
   message.host = this->settings.self;
   message.domain = this->settings.domain;
   message.address = this->settings.address;
   message.sequence = ++this->sequence;
-  message.requests_neighbours = asks;
+  message.requests_neighbours = requests_neighbours;
   return message;
 }
 
@@ -50,29 +51,33 @@
       PeerSend{HostId{}, address, EncodeNeighbourMessage(message)});
 }
 
-void Neighbours::Answer(Instant now, const NeighbourMessage& question) {
-  NeighbourMessage answer = this->Make(now, false);
-  std::set<FailureDomainId> named = {question.domain};
-  if (question.domain != this->settings.domain) {
-    named.insert(this->settings.domain);
-    answer.contacts.push_back(
+void Neighbours::SendNeighbourList(Instant now,
+                                   const NeighbourMessage& request) {
+  NeighbourMessage response = this->MakeMessage(now, false);
+  std::set<FailureDomainId> included = {request.domain};
+  if (request.domain != this->settings.domain) {
+    included.insert(this->settings.domain);
+    response.contacts.push_back(
         {this->settings.domain, {this->settings.self, this->settings.address}});
   }
-  for (const auto& [host, asker] : this->asked_here) {
-    const bool wanted =
-        asker.domain == question.domain && host != question.host;
-    if (wanted && answer.neighbours.size() < kMostNeighbours) {
-      answer.neighbours.push_back({host, asker.address});
+  for (const auto& [host, requester] : this->requesters) {
+    const bool matches =
+        requester.domain == request.domain && host != request.host;
+    if (matches && response.neighbours.size() < kMaxNeighbours) {
+      response.neighbours.push_back({host, requester.address});
     }
-    // The first of a domain is the one with the lowest id.
-    if (named.size() <= kMostDomains && named.insert(asker.domain).second) {
-      answer.contacts.push_back({asker.domain, {host, asker.address}});
+    // The map is sorted, so the first host of a domain has the lowest id.
+    if (included.size() <= kMaxDomains &&
+        included.insert(requester.domain).second) {
+      response.contacts.push_back(
+          {requester.domain, {host, requester.address}});
     }
   }
-  if (this->settings.domain == question.domain) {
-    answer.neighbours.push_back({this->settings.self, this->settings.address});
+  if (this->settings.domain == request.domain) {
+    response.neighbours.push_back(
+        {this->settings.self, this->settings.address});
   }
-  this->SendTo(question.address, answer);
+  this->SendTo(request.address, response);
 }
 
 bool Neighbours::OnFrame(Instant now, const PeerFrame& frame) {
@@ -84,207 +89,216 @@
   if (message.host == this->settings.self || message.address.empty()) {
     return true;
   }
-  if (message.requests_neighbours && this->asked_here.size() < kMostAskers) {
-    this->asked_here[message.host] = {message.domain, message.address, now};
-    this->TakeContact(now, {message.domain, {message.host, message.address}});
-    this->Answer(now, message);
+  if (message.requests_neighbours && this->requesters.size() < kMaxRequesters) {
+    this->requesters[message.host] = {message.domain, message.address, now};
+    this->StoreContact(now, {message.domain, {message.host, message.address}});
+    this->SendNeighbourList(now, message);
   }
   for (const NeighbourAddress& neighbour : message.neighbours) {
     const bool is_new = neighbour.host != this->settings.self &&
-                        this->known.count(neighbour.host) == 0 &&
-                        this->known.size() < kMostNeighbours;
+                        this->neighbours.count(neighbour.host) == 0 &&
+                        this->neighbours.size() < kMaxNeighbours;
     if (is_new) {
-      this->known[neighbour.host] = {neighbour.address, 0, now, std::nullopt};
+      this->neighbours[neighbour.host] = {neighbour.address, 0, now,
+                                          std::nullopt};
       this->hooks.neighbour_found(neighbour.host);
       this->next_state = std::min(this->next_state, now);
     }
   }
   for (const DomainContact& contact : message.contacts) {
-    this->TakeContact(now, contact);
+    this->StoreContact(now, contact);
   }
   if (message.domain_loads.has_value()) {
-    this->TakeDomain(now, message);
+    this->HandleDomainLoads(now, message);
     return true;
   }
   if (message.domain != this->settings.domain || message.requests_neighbours ||
       !message.neighbours.empty()) {
     return true;
   }
-  const auto found = this->known.find(message.host);
-  if (found == this->known.end() && this->known.size() >= kMostNeighbours) {
+  const auto found = this->neighbours.find(message.host);
+  if (found == this->neighbours.end() &&
+      this->neighbours.size() >= kMaxNeighbours) {
     return true;
   }
-  if (found == this->known.end()) {
+  if (found == this->neighbours.end()) {
     this->hooks.neighbour_found(message.host);
   }
-  Known& sender = this->known[message.host];
+  Neighbour& sender = this->neighbours[message.host];
   const bool restarted = sender.address != message.address;
-  const bool old = !restarted && message.sequence <= sender.sequence &&
-                   message.sequence + kMostNeighbours > sender.sequence;
-  sender.heard = now;
-  sender.clock_ms = message.sent_at_ms;
-  this->TakeProofs(now, message);
-  if (old || message.echo_ms.has_value()) {
-    return true;  // overtaken on its way
+  const bool outdated = !restarted && message.sequence <= sender.sequence &&
+                        message.sequence + kMaxNeighbours > sender.sequence;
+  sender.last_received = now;
+  sender.peer_clock_ms = message.sent_at_ms;
+  this->HandleLinearizableReads(now, message);
+  if (outdated || message.echo_ms.has_value()) {
+    return true;  // a newer state was received, or only reads are carried
   }
   sender.address = message.address;
   sender.sequence = message.sequence;
   this->hooks.host_loads(now, message.host, message.worker_loads);
   for (const LeavingWorker& worker : message.leaving) {
-    this->HearLeaving(now, worker);
+    this->HandleLeaving(now, worker);
   }
   return true;
 }
 
-void Neighbours::TakeContact(Instant now, const DomainContact& contact) {
+void Neighbours::StoreContact(Instant now, const DomainContact& contact) {
   if (contact.domain == this->settings.domain) {
     return;
   }
   const auto found = this->contacts.find(contact.domain);
   if (found == this->contacts.end()) {
-    if (this->contacts.size() < kMostDomains) {
+    if (this->contacts.size() < kMaxDomains) {
       this->contacts[contact.domain] = {contact.host, now};
     }
     return;
   }
-  // The lowest id stays, so that all turn to the same host.
+  // Keeps the lowest id, so that all hosts use the same contact host.
   const bool replaces = !(found->second.host.host < contact.host.host) ||
-                        now - found->second.heard > kAskerLife;
+                        now - found->second.last_received > kRequesterTimeout;
   if (replaces) {
     found->second = {contact.host, now};
   }
 }
 
-void Neighbours::TakeDomain(Instant now, const NeighbourMessage& message) {
-  const DomainLoads& told = *message.domain_loads;
-  const bool usable = told.domain != this->settings.domain &&
-                      (this->domains_heard.count(told.domain) > 0 ||
-                       this->domains_heard.size() < kMostDomains);
+void Neighbours::HandleDomainLoads(Instant now,
+                                   const NeighbourMessage& message) {
+  const DomainLoads& loads = *message.domain_loads;
+  const bool usable = loads.domain != this->settings.domain &&
+                      (this->domain_updates.count(loads.domain) > 0 ||
+                       this->domain_updates.size() < kMaxDomains);
   if (!usable) {
     return;
   }
-  this->domains_heard[told.domain] = now;
-  this->hooks.remote_domain_loads(now, told);
+  this->domain_updates[loads.domain] = now;
+  this->hooks.remote_domain_loads(now, loads);
   for (const LeavingWorker& worker : message.leaving) {
     this->hooks.worker_leaving(now, worker);
   }
   if (message.domain == this->settings.domain) {
     return;
   }
-  NeighbourMessage relayed = this->Make(now, false);
-  relayed.domain_loads = told;
+  NeighbourMessage relayed = this->MakeMessage(now, false);
+  relayed.domain_loads = loads;
   relayed.leaving = message.leaving;
-  for (const auto& [host, neighbour] : this->known) {
+  for (const auto& [host, neighbour] : this->neighbours) {
     this->SendTo(neighbour.address, relayed);
   }
 }
 
-void Neighbours::TellProofs(Instant now) {
-  this->next_proofs = kNever;
-  for (const auto& [host, neighbour] : this->known) {
-    if (!neighbour.clock_ms.has_value()) {
+void Neighbours::SendLinearizableReads(Instant now) {
+  this->next_linearizable_reads = kNever;
+  for (const auto& [host, neighbour] : this->neighbours) {
+    if (!neighbour.peer_clock_ms.has_value()) {
       continue;
     }
-    NeighbourMessage message = this->Make(now, false);
-    message.echo_ms = neighbour.clock_ms;
+    NeighbourMessage message = this->MakeMessage(now, false);
+    message.echo_ms = neighbour.peer_clock_ms;
     message.linearizable_reads = this->hooks.local_reads(now);
     this->SendTo(neighbour.address, message);
   }
 }
 
-void Neighbours::TakeProofs(Instant now, const NeighbourMessage& message) {
-  if (!message.echo_ms.has_value() || !this->began.has_value()) {
+void Neighbours::HandleLinearizableReads(Instant now,
+                                         const NeighbourMessage& message) {
+  if (!message.echo_ms.has_value() || !this->first_message_at.has_value()) {
     return;
   }
-  // A clock that this start did not send is one of an earlier start.
+  // Rejects a clock value that an earlier process of this host sent.
   const Instant echoed{std::chrono::milliseconds(*message.echo_ms)};
-  const bool mine =
-      *message.echo_ms >= InMilliseconds(*this->began) && echoed <= now;
-  if (!mine) {
+  const bool sent_by_this_process =
+      *message.echo_ms >= InMilliseconds(*this->first_message_at) &&
+      echoed <= now;
+  if (!sent_by_this_process) {
     return;
   }
-  for (const AdvertisedRead& proof : message.linearizable_reads) {
-    this->hooks.neighbour_read(echoed - proof.age, proof);
+  for (const AdvertisedRead& read : message.linearizable_reads) {
+    this->hooks.neighbour_read(echoed - read.age, read);
   }
 }
 
-bool Neighbours::Speaks() const {
-  return this->known.empty() ||
-         this->settings.self < this->known.begin()->first;
+bool Neighbours::HasLowestId() const {
+  return this->neighbours.empty() ||
+         this->settings.self < this->neighbours.begin()->first;
 }
 
-void Neighbours::TellDomains(Instant now) {
-  this->next_domains = now + kDomainsEvery;
-  if (this->contacts.empty() || !this->Speaks()) {
+void Neighbours::SendDomainLoads(Instant now) {
+  this->next_domain_loads = now + kDomainLoadsInterval;
+  if (this->contacts.empty() || !this->HasLowestId()) {
     return;
   }
-  NeighbourMessage message = this->Make(now, false);
+  NeighbourMessage message = this->MakeMessage(now, false);
   message.domain_loads =
       DomainLoads{this->settings.domain, this->hooks.own_domain_loads()};
-  message.leaving = this->Leaving(now, true);
+  message.leaving = this->LeavingWorkers(now, true);
   for (const auto& [domain, contact] : this->contacts) {
     this->SendTo(contact.host.address, message);
   }
 }
 
-void Neighbours::Prune(Instant now) {
-  for (auto it = this->known.begin(); it != this->known.end();) {
-    if (now - it->second.heard <= kSilence) {
+void Neighbours::RemoveUnresponsive(Instant now) {
+  for (auto it = this->neighbours.begin(); it != this->neighbours.end();) {
+    if (now - it->second.last_received <= kNeighbourTimeout) {
       ++it;
       continue;
     }
     this->hooks.neighbour_lost(it->first);
-    it = this->known.erase(it);
+    it = this->neighbours.erase(it);
   }
-  for (auto it = this->domains_heard.begin();
-       it != this->domains_heard.end();) {
-    if (now - it->second <= kDomainSilence) {
+  for (auto it = this->domain_updates.begin();
+       it != this->domain_updates.end();) {
+    if (now - it->second <= kDomainTimeout) {
       ++it;
       continue;
     }
     this->hooks.domain_lost(it->first);
-    it = this->domains_heard.erase(it);
+    it = this->domain_updates.erase(it);
   }
   for (auto it = this->contacts.begin(); it != this->contacts.end();) {
-    it = now - it->second.heard > kAskerLife ? this->contacts.erase(it)
-                                             : std::next(it);
+    it = now - it->second.last_received > kRequesterTimeout
+             ? this->contacts.erase(it)
+             : std::next(it);
   }
   this->leaving.erase(std::remove_if(this->leaving.begin(), this->leaving.end(),
-                                     [now](const Told& told) {
-                                       return now - told.noticed > kLeavingTold;
+                                     [now](const LeavingRecord& record) {
+                                       return now - record.noticed_at >
+                                              kLeavingNoticeLifetime;
                                      }),
                       this->leaving.end());
 }
 
 void Neighbours::OnStateChanged(Instant now) {
-  this->next_state = std::min(this->next_state,
-                              std::max(now, this->last_state + kStateSpacing));
+  this->next_state =
+      std::min(this->next_state,
+               std::max(now, this->last_state_sent + kMinStateInterval));
 }
 
 void Neighbours::OnWorkerLeaving(Instant now, const LeavingWorker& worker) {
   this->leaving.push_back({worker, now - worker.age, false});
   this->next_state = std::min(this->next_state, now);
-  this->next_domains = std::min(this->next_domains, now);
+  this->next_domain_loads = std::min(this->next_domain_loads, now);
 }
 
-void Neighbours::HearLeaving(Instant now, const LeavingWorker& worker) {
+void Neighbours::HandleLeaving(Instant now, const LeavingWorker& worker) {
   this->hooks.worker_leaving(now, worker);
-  const auto same = [&worker](const Told& told) {
-    return told.worker.worker == worker.worker &&
-           told.worker.started_at == worker.started_at;
+  const auto same = [&worker](const LeavingRecord& record) {
+    return record.worker.worker == worker.worker &&
+           record.worker.started_at == worker.started_at;
   };
   if (std::none_of(this->leaving.begin(), this->leaving.end(), same)) {
     this->leaving.push_back({worker, now - worker.age, true});
-    this->next_domains = std::min(this->next_domains, now);
+    this->next_domain_loads = std::min(this->next_domain_loads, now);
   }
 }
 
-std::vector<LeavingWorker> Neighbours::Leaving(Instant now, bool heard) const {
+std::vector<LeavingWorker> Neighbours::LeavingWorkers(
+    Instant now, bool include_received) const {
   std::vector<LeavingWorker> workers;
-  for (const Told& told : this->leaving) {
-    if (heard || !told.heard) {
-      workers.push_back(told.worker);
-      workers.back().age = now - told.noticed;
+  for (const LeavingRecord& record : this->leaving) {
+    if (include_received || !record.received) {
+      workers.push_back(record.worker);
+      workers.back().age = now - record.noticed_at;
     }
   }
   return workers;
@@ -294,38 +308,40 @@
   if (this->settings.address.empty()) {
     return;
   }
-  if (this->next_question <= now) {
-    const bool alone = this->known.empty();
-    this->next_question = now + (alone ? kQuestionEvery : kQuestionEveryKnown);
+  if (this->next_request <= now) {
+    const bool isolated = this->neighbours.empty();
+    this->next_request =
+        now + (isolated ? kRequestInterval : kConnectedRequestInterval);
     for (const std::string& seed : this->settings.seeds) {
       if (seed != this->settings.address) {
-        this->SendTo(seed, this->Make(now, true));
+        this->SendTo(seed, this->MakeMessage(now, true));
       }
     }
-    for (auto it = this->asked_here.begin(); it != this->asked_here.end();) {
-      it = now - it->second.heard > kAskerLife ? this->asked_here.erase(it)
-                                               : std::next(it);
+    for (auto it = this->requesters.begin(); it != this->requesters.end();) {
+      it = now - it->second.last_received > kRequesterTimeout
+               ? this->requesters.erase(it)
+               : std::next(it);
     }
   }
-  if (this->next_domains <= now) {
-    this->TellDomains(now);
+  if (this->next_domain_loads <= now) {
+    this->SendDomainLoads(now);
   }
-  if (this->next_proofs <= now) {
-    this->TellProofs(now);
+  if (this->next_linearizable_reads <= now) {
+    this->SendLinearizableReads(now);
   }
   if (this->next_state > now) {
     return;
   }
-  this->last_state = now;
-  this->next_state = now + kStateEvery;
-  this->Prune(now);
-  if (this->known.empty()) {
+  this->last_state_sent = now;
+  this->next_state = now + kStateInterval;
+  this->RemoveUnresponsive(now);
+  if (this->neighbours.empty()) {
     return;
   }
-  NeighbourMessage message = this->Make(now, false);
+  NeighbourMessage message = this->MakeMessage(now, false);
   message.worker_loads = this->hooks.local_loads();
-  message.leaving = this->Leaving(now, false);
-  for (const auto& [host, neighbour] : this->known) {
+  message.leaving = this->LeavingWorkers(now, false);
+  for (const auto& [host, neighbour] : this->neighbours) {
     this->SendTo(neighbour.address, message);
   }
 }
@@ -333,8 +349,9 @@
 Instant Neighbours::NextWakeup() const {
   return this->settings.address.empty()
              ? kNever
-             : std::min({this->next_state, this->next_question,
-                         this->next_domains, this->next_proofs});
+             : std::min({this->next_state, this->next_request,
+                         this->next_domain_loads,
+                         this->next_linearizable_reads});
 }
 
 }  // namespace limpetlink
--- a/src/neighbours/neighbours.h
+++ b/src/neighbours/neighbours.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief What the entry hosts of a failure domain tell each other, so that
-/// each places requests as if it knew what all have placed.
+/// @brief Exchange of state between the entry hosts of a failure domain, so
+/// that each host places requests with the load of all hosts in view.
 #pragma once
 
 #include "neighbours/detail/message.h"
--- a/src/neighbours/tests/neighbours_test.cc
+++ b/src/neighbours/tests/neighbours_test.cc
@@ -8,31 +8,32 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// @brief Hosts joined by datagrams that may be lost.
-class Group {
+/// @brief Hosts that exchange datagrams, which may be lost.
+class Simulation {
  public:
   struct Member {
     std::unique_ptr<Neighbours> host;
     std::string address;
-    std::vector<OwnLoad> shares;
-    std::map<std::string, std::uint32_t> running;    ///< as told by others
-    std::map<std::string, std::uint32_t> elsewhere;  ///< by domain
-    Instant proved_at{};
-    Instant proof_from{};  ///< of another host's call, by this clock
+    std::vector<OwnLoad> worker_loads;
+    std::map<std::string, std::uint32_t> running;  ///< by neighbour
+    std::map<std::string, std::uint32_t>
+        remote_domains;  ///< running, by domain
+    Instant read_sent_at{};
+    Instant received_read_at{};  ///< of a neighbour's read, by this clock
     std::vector<std::string> leaving;
-    bool down = false;
+    bool is_down = false;
   };
 
   Member& Add(const std::string& name, const std::string& domain) {
     Member& member = this->members[name];
     member.address = name;
     NeighbourHooks hooks;
-    hooks.local_loads = [&member] { return member.shares; };
+    hooks.local_loads = [&member] { return member.worker_loads; };
     hooks.host_loads = [&member](Instant, const HostId& host,
-                                 const std::vector<OwnLoad>& shares) {
+                                 const std::vector<OwnLoad>& worker_loads) {
       std::uint32_t sum = 0;
-      for (const OwnLoad& share : shares) {
-        sum += share.running;
+      for (const OwnLoad& load : worker_loads) {
+        sum += load.running;
       }
       member.running[host.value] = sum;
     };
@@ -46,25 +47,26 @@
       member.leaving.push_back(worker.worker.value);
     };
     hooks.local_reads = [&member](Instant now) {
-      std::vector<AdvertisedRead> proofs;
-      if (member.proved_at != Instant{}) {
-        proofs.push_back({"workers", 5, 9, now - member.proved_at});
+      std::vector<AdvertisedRead> reads;
+      if (member.read_sent_at != Instant{}) {
+        reads.push_back({"workers", 5, 9, now - member.read_sent_at});
       }
-      return proofs;
+      return reads;
     };
     hooks.neighbour_read = [&member](Instant asked_at, const AdvertisedRead&) {
-      member.proof_from = asked_at;
+      member.received_read_at = asked_at;
     };
-    hooks.own_domain_loads = [&member] { return member.shares; };
-    hooks.remote_domain_loads = [&member](Instant, const DomainLoads& told) {
+    hooks.own_domain_loads = [&member] { return member.worker_loads; };
+    hooks.remote_domain_loads = [&member](Instant,
+                                          const DomainLoads& domain_loads) {
       std::uint32_t sum = 0;
-      for (const OwnLoad& load : told.loads) {
+      for (const OwnLoad& load : domain_loads.loads) {
         sum += load.running;
       }
-      member.elsewhere[told.domain.value] = sum;
+      member.remote_domains[domain_loads.domain.value] = sum;
     };
     hooks.domain_lost = [&member](const FailureDomainId& domain) {
-      member.elsewhere.erase(domain.value);
+      member.remote_domains.erase(domain.value);
     };
     member.host = std::make_unique<Neighbours>(
         NeighbourSettings{
@@ -73,20 +75,21 @@
     return member;
   }
 
-  void Pass(Duration span) {
+  void Advance(Duration span) {
     const Instant end = this->now + span;
     while (this->now < end) {
       this->now += milliseconds(5);
       for (auto& [name, member] : this->members) {
-        if (member.down) {
+        if (member.is_down) {
           continue;
         }
         member.host->Tick(this->now);
         for (Action& action : member.host->TakeActions()) {
           auto* send = std::get_if<PeerSend>(&action);
           const auto to = this->members.find(send->address);
-          const bool arrives = to != this->members.end() && !to->second.down &&
-                               this->random.Fraction() >= this->loss;
+          const bool arrives = to != this->members.end() &&
+                               !to->second.is_down &&
+                               this->random.Fraction() >= this->loss_rate;
           if (arrives) {
             CHECK(to->second.host->OnFrame(this->now,
                                            {HostId{name}, send->bytes}));
@@ -98,153 +101,152 @@
 
   std::map<std::string, Member> members;
   Random random{3};
-  double loss = 0;
+  double loss_rate = 0;
   Instant now{seconds(100)};
 };
 
-TEST_CASE("neighbours, hosts of two domains, know those of their own",
+TEST_CASE("neighbours, hosts of two domains, find those of their own domain",
           "[neighbours]") {
-  Group group;
-  group.Add("seed-1", "east");
-  group.Add("seed-2", "west");
+  Simulation simulation;
+  simulation.Add("seed-1", "east");
+  simulation.Add("seed-2", "west");
   for (int i = 0; i < 6; ++i) {
-    group.Add("host-" + std::to_string(i), i % 2 == 0 ? "east" : "west");
+    simulation.Add("host-" + std::to_string(i), i % 2 == 0 ? "east" : "west");
   }
-  group.Pass(seconds(8));
-  for (const auto& [name, member] : group.members) {
+  simulation.Advance(seconds(8));
+  for (const auto& [name, member] : simulation.members) {
     CHECK(member.host->Count() == 3);
   }
 }
 
-TEST_CASE("neighbours, a share changes, is known within a tenth of a second",
+TEST_CASE("neighbours, a load changes, reaches neighbours within 50 ms",
           "[neighbours]") {
-  Group group;
-  Group::Member& seed = group.Add("seed-1", "east");
-  Group::Member& host = group.Add("host", "east");
-  group.Pass(seconds(3));
-  host.shares = {{UpstreamId{"w"}, 4, 1, 3000, 9000}};
-  host.host->OnStateChanged(group.now);
-  group.Pass(milliseconds(50));
+  Simulation simulation;
+  Simulation::Member& seed = simulation.Add("seed-1", "east");
+  Simulation::Member& host = simulation.Add("host", "east");
+  simulation.Advance(seconds(3));
+  host.worker_loads = {{UpstreamId{"w"}, 4, 1, 3000, 9000}};
+  host.host->OnStateChanged(simulation.now);
+  simulation.Advance(milliseconds(50));
   CHECK(seed.running.at("host") == 4);
 }
 
 TEST_CASE(
-    "neighbours, a domain's loads change, hosts of other domains know within "
-    "half a second",
+    "neighbours, loads of a domain change, reach hosts of other domains within "
+    "500 ms",
     "[neighbours]") {
-  Group group;
-  Group::Member& seed = group.Add("seed-1", "east");
-  Group::Member& east = group.Add("host-east", "east");
-  group.Add("host-west-1", "west");
-  Group::Member& west = group.Add("host-west-2", "west");
-  group.Pass(seconds(8));
-  // The lowest id of its domain tells of it.
-  east.shares = {{UpstreamId{"w"}, 4, 1, 3000, 9000}};
-  group.Pass(milliseconds(500));
-  CHECK(west.elsewhere.at("east") == 4);
-  CHECK(seed.elsewhere.count("east") == 0);
+  Simulation simulation;
+  Simulation::Member& seed = simulation.Add("seed-1", "east");
+  Simulation::Member& east = simulation.Add("host-east", "east");
+  simulation.Add("host-west-1", "west");
+  Simulation::Member& west = simulation.Add("host-west-2", "west");
+  simulation.Advance(seconds(8));
+  // The host with the lowest id sends the loads of its domain.
+  east.worker_loads = {{UpstreamId{"w"}, 4, 1, 3000, 9000}};
+  simulation.Advance(milliseconds(500));
+  CHECK(west.remote_domains.at("east") == 4);
+  CHECK(seed.remote_domains.count("east") == 0);
 }
 
-TEST_CASE(
-    "neighbours, the host that speaks for a domain dies, another one does",
-    "[neighbours]") {
-  Group group;
-  Group::Member& seed = group.Add("seed-1", "east");
-  Group::Member& east = group.Add("host-east", "east");
-  Group::Member& west = group.Add("host-west", "west");
-  group.Pass(seconds(8));
-  east.down = true;
-  group.Pass(seconds(6));
-  seed.shares = {{UpstreamId{"w"}, 7, 1, 3000, 9000}};
-  group.Pass(seconds(1));
-  CHECK(west.elsewhere.at("east") == 7);
-  seed.down = true;
-  group.Pass(seconds(4));
-  CHECK(west.elsewhere.empty());
+TEST_CASE("neighbours, the leader of a domain fails, another host replaces it",
+          "[neighbours]") {
+  Simulation simulation;
+  Simulation::Member& seed = simulation.Add("seed-1", "east");
+  Simulation::Member& east = simulation.Add("host-east", "east");
+  Simulation::Member& west = simulation.Add("host-west", "west");
+  simulation.Advance(seconds(8));
+  east.is_down = true;
+  simulation.Advance(seconds(6));
+  seed.worker_loads = {{UpstreamId{"w"}, 7, 1, 3000, 9000}};
+  simulation.Advance(seconds(1));
+  CHECK(west.remote_domains.at("east") == 7);
+  seed.is_down = true;
+  simulation.Advance(seconds(4));
+  CHECK(west.remote_domains.empty());
 }
 
 TEST_CASE(
-    "neighbours, a host proves its knowledge, neighbours learn it no younger "
-    "than it is",
+    "neighbours, a linearizable read, reaches neighbours with at least its age",
     "[neighbours]") {
-  Group group;
-  Group::Member& seed = group.Add("seed-1", "east");
-  Group::Member& host = group.Add("host", "east");
-  group.Pass(seconds(3));
-  host.proved_at = group.now - milliseconds(30);
-  host.host->OnLinearizableRead(group.now);
-  group.Pass(milliseconds(50));
-  CHECK(seed.proof_from <= host.proved_at);
-  CHECK(seed.proof_from > host.proved_at - seconds(2));
+  Simulation simulation;
+  Simulation::Member& seed = simulation.Add("seed-1", "east");
+  Simulation::Member& host = simulation.Add("host", "east");
+  simulation.Advance(seconds(3));
+  host.read_sent_at = simulation.now - milliseconds(30);
+  host.host->OnLinearizableRead(simulation.now);
+  simulation.Advance(milliseconds(50));
+  CHECK(seed.received_read_at <= host.read_sent_at);
+  CHECK(seed.received_read_at > host.read_sent_at - seconds(2));
 }
 
 TEST_CASE(
-    "neighbours, a host is frozen while a proof is on its way, takes it for "
-    "as old as it is",
+    "neighbours, a host is frozen while a linearizable read is in transit, "
+    "still applies at least its age",
     "[neighbours]") {
-  Group group;
-  Group::Member& seed = group.Add("seed-1", "east");
-  Group::Member& host = group.Add("host", "east");
-  group.Pass(seconds(3));
-  host.proved_at = group.now;
-  host.host->OnLinearizableRead(group.now);
-  host.host->Tick(group.now);
+  Simulation simulation;
+  Simulation::Member& seed = simulation.Add("seed-1", "east");
+  Simulation::Member& host = simulation.Add("host", "east");
+  simulation.Advance(seconds(3));
+  host.read_sent_at = simulation.now;
+  host.host->OnLinearizableRead(simulation.now);
+  host.host->Tick(simulation.now);
   const Actions sent = host.host->TakeActions();
-  group.now += seconds(60);  // the frozen host's clock goes on
+  simulation.now += seconds(60);  // the clock of the frozen host continues
   for (const Action& action : sent) {
     const auto* datagram = std::get_if<PeerSend>(&action);
     REQUIRE(datagram != nullptr);
     if (datagram->address == "seed-1") {
-      seed.host->OnFrame(group.now, {HostId{"host"}, datagram->bytes});
+      seed.host->OnFrame(simulation.now, {HostId{"host"}, datagram->bytes});
     }
   }
-  CHECK(seed.proof_from != Instant{});
-  CHECK(seed.proof_from <= host.proved_at);
+  CHECK(seed.received_read_at != Instant{});
+  CHECK(seed.received_read_at <= host.read_sent_at);
 }
 
-TEST_CASE("neighbours, a fifth of the datagrams lost, states still arrive",
+TEST_CASE("neighbours, 20% of the datagrams lost, states still arrive",
           "[neighbours]") {
-  Group group;
-  group.loss = 0.2;
-  Group::Member& seed = group.Add("seed-1", "east");
-  Group::Member& host = group.Add("host", "east");
-  group.Pass(seconds(15));
-  host.shares = {{UpstreamId{"w"}, 4, 1, 3000, 9000}};
-  host.host->OnWorkerLeaving(group.now, {UpstreamId{"gone"}, 7, {}});
-  group.Pass(seconds(4));
+  Simulation simulation;
+  simulation.loss_rate = 0.2;
+  Simulation::Member& seed = simulation.Add("seed-1", "east");
+  Simulation::Member& host = simulation.Add("host", "east");
+  simulation.Advance(seconds(15));
+  host.worker_loads = {{UpstreamId{"w"}, 4, 1, 3000, 9000}};
+  host.host->OnWorkerLeaving(simulation.now, {UpstreamId{"gone"}, 7, {}});
+  simulation.Advance(seconds(4));
   CHECK(seed.running.at("host") == 4);
   CHECK_FALSE(seed.leaving.empty());
 }
 
-TEST_CASE("neighbours, host falls silent, is forgotten and known again",
+TEST_CASE("neighbours, unresponsive host, is removed and found again",
           "[neighbours]") {
-  Group group;
-  Group::Member& seed = group.Add("seed-1", "east");
-  Group::Member& host = group.Add("host", "east");
-  group.Pass(seconds(3));
-  host.down = true;
-  group.Pass(seconds(6));
+  Simulation simulation;
+  Simulation::Member& seed = simulation.Add("seed-1", "east");
+  Simulation::Member& host = simulation.Add("host", "east");
+  simulation.Advance(seconds(3));
+  host.is_down = true;
+  simulation.Advance(seconds(6));
   CHECK(seed.host->Count() == 0);
   CHECK(seed.running.empty());
-  host.down = false;
-  group.Pass(seconds(6));
+  host.is_down = false;
+  simulation.Advance(seconds(6));
   CHECK(seed.host->Count() == 1);
 }
 
-TEST_CASE("neighbours, all seeds down, those that know each other go on",
+TEST_CASE("neighbours, all seeds down, hosts keep their known neighbours",
           "[neighbours]") {
-  Group group;
-  Group::Member& seed = group.Add("seed-1", "east");
-  group.Add("host-1", "east");
-  Group::Member& second = group.Add("host-2", "east");
-  group.Pass(seconds(8));
-  seed.down = true;
-  group.Pass(seconds(8));
+  Simulation simulation;
+  Simulation::Member& seed = simulation.Add("seed-1", "east");
+  simulation.Add("host-1", "east");
+  Simulation::Member& second = simulation.Add("host-2", "east");
+  simulation.Advance(seconds(8));
+  seed.is_down = true;
+  simulation.Advance(seconds(8));
   CHECK(second.host->Count() == 1);
 }
 
-TEST_CASE("neighbour message, any bytes, are read whole or refused",
-          "[neighbours]") {
+TEST_CASE(
+    "neighbour message, random changes, is decoded within limits or rejected",
+    "[neighbours]") {
   NeighbourMessage message;
   message.host = HostId{"a"};
   message.domain = FailureDomainId{"d"};
@@ -252,21 +254,21 @@
   message.worker_loads = {{UpstreamId{"w"}, 4, 1, 3000, 9000}};
   message.leaving = {{UpstreamId{"w"}, -5, milliseconds(90)}};
   message.neighbours = {{HostId{"b"}, "10.0.0.2:1"}};
-  const std::string whole = EncodeNeighbourMessage(message);
-  const auto read = DecodeNeighbourMessage(whole);
+  const std::string encoded = EncodeNeighbourMessage(message);
+  const auto read = DecodeNeighbourMessage(encoded);
   REQUIRE(read.ok());
   CHECK(read->worker_loads[0].tokens == 9000);
   CHECK(read->leaving[0].started_at == -5);
   Random random(5);
   for (int i = 0; i < 5000; ++i) {
-    std::string bytes = whole;
+    std::string bytes = encoded;
     bytes[random.Below(bytes.size())] = static_cast<char>(random.Below(256));
     if (random.Below(3) == 0) {
       bytes.resize(random.Below(bytes.size()));
     }
-    const auto spoilt = DecodeNeighbourMessage(bytes);
-    if (spoilt.ok()) {
-      CHECK(spoilt->worker_loads.size() <= 256);
+    const auto changed = DecodeNeighbourMessage(bytes);
+    if (changed.ok()) {
+      CHECK(changed->worker_loads.size() <= 256);
     }
   }
   CHECK_FALSE(DecodeNeighbourMessage("").ok());
