--- a/src/peers/cbor.cc
+++ b/src/peers/cbor.cc
@@ -8,11 +8,11 @@
 
 using Json = nlohmann::json;
 
-/// @brief Walks a message without building it and stops at the first bound
-/// passed. The codec's recursion stops with it.
-class BoundsCheck : public nlohmann::json_sax<Json> {
+/// @brief Parses a message without building it and stops at the first exceeded
+/// limit, which also ends the parser's recursion.
+class LimitChecker : public nlohmann::json_sax<Json> {
  public:
-  explicit BoundsCheck(const CborLimits& bounds) : bounds(bounds) {}
+  explicit LimitChecker(const CborLimits& limits) : limits(limits) {}
 
   bool null() override { return this->Count(); }
   bool boolean(bool /*value*/) override { return this->Count(); }
@@ -29,12 +29,12 @@
   bool string(string_t& /*value*/) override { return this->Count(); }
   bool binary(binary_t& /*value*/) override { return this->Count(); }
   bool start_object(std::size_t elements) override {
-    return this->Read(elements);
+    return this->Open(elements);
   }
   bool key(string_t& /*value*/) override { return this->Count(); }
   bool end_object() override { return this->Close(); }
   bool start_array(std::size_t elements) override {
-    return this->Read(elements);
+    return this->Open(elements);
   }
   bool end_array() override { return this->Close(); }
   bool parse_error(std::size_t /*position*/, const std::string& /*token*/,
@@ -43,13 +43,13 @@
   }
 
  private:
-  bool Count() { return ++this->values <= this->bounds.max_values; }
+  bool Count() { return ++this->values <= this->limits.max_values; }
 
-  bool Read(std::size_t elements) {
+  bool Open(std::size_t elements) {
     ++this->depth;
     const bool unknown_size = elements == static_cast<std::size_t>(-1);
-    const bool few = unknown_size || elements <= this->bounds.max_values;
-    return few && this->depth <= this->bounds.max_depth && this->Count();
+    const bool fits = unknown_size || elements <= this->limits.max_values;
+    return fits && this->depth <= this->limits.max_depth && this->Count();
   }
 
   bool Close() {
@@ -57,7 +57,7 @@
     return true;
   }
 
-  CborLimits bounds;
+  CborLimits limits;
   std::size_t depth = 0;
   std::size_t values = 0;
 };
@@ -65,14 +65,14 @@
 }  // namespace
 
 absl::StatusOr<Json> DecodeCbor(std::string_view bytes,
-                                const CborLimits& bounds) {
-  if (bytes.size() > bounds.max_bytes) {
+                                const CborLimits& limits) {
+  if (bytes.size() > limits.max_bytes) {
     return MakeStatus(ErrorCode::kPeerRefused, "message is too large");
   }
-  BoundsCheck check(bounds);
-  const bool within = Json::sax_parse(bytes.begin(), bytes.end(), &check,
-                                      Json::input_format_t::cbor);
-  if (!within) {
+  LimitChecker checker(limits);
+  const bool accepted = Json::sax_parse(bytes.begin(), bytes.end(), &checker,
+                                        Json::input_format_t::cbor);
+  if (!accepted) {
     return MakeStatus(ErrorCode::kPeerRefused, "message is malformed");
   }
   Json value = Json::from_cbor(bytes.begin(), bytes.end(), true, false);
--- a/src/peers/detail/cbor.h
+++ b/src/peers/detail/cbor.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Reading CBOR from a peer within bounds.
+/// @brief CBOR coding with limits for input from peers.
 #pragma once
 
 #include <cstddef>
@@ -11,29 +11,31 @@
 
 namespace limpetlink {
 
-/// @brief Bounds on a message; one outside them is refused before it is built.
+/// @brief Limits of a message; a message beyond them is rejected before it is
+/// parsed into a value.
 struct CborLimits {
   std::size_t max_bytes = 1024UL * 1024UL;
   std::size_t max_depth = 8;       ///< of nested arrays and maps
-  std::size_t max_values = 65536;  ///< of all kinds, nested ones included
+  std::size_t max_values = 65536;  ///< including nested ones
 };
 
-/// @brief Reads one CBOR value that fills the bytes.
-/// @param bytes from a peer, trusted in nothing
-/// @param bounds what is accepted
-/// @return the value; peer.101 when malformed or outside the bounds
+/// @brief Decodes one CBOR value that spans all bytes.
+/// @param bytes untrusted input from a peer
+/// @param limits largest accepted size, depth and count
+/// @return the value; peer.101 when malformed or beyond the limits
 /// @note Complexity: linear in the bytes.
 absl::StatusOr<nlohmann::json> DecodeCbor(std::string_view bytes,
-                                          const CborLimits& bounds);
+                                          const CborLimits& limits);
 
-/// @brief Writes a value as CBOR. Text must be UTF-8; other bytes go as binary.
+/// @brief Encodes a value as CBOR. Text must be UTF-8; other bytes must be a
+/// binary value.
 std::string EncodeCbor(const nlohmann::json& value);
 
-/// @brief Makes a binary value.
+/// @brief Creates a binary value.
 nlohmann::json CborBinary(std::string_view bytes);
 
-/// @brief Reads a binary value.
-/// @return whether the value is binary; then its bytes are in `bytes`
+/// @brief Copies the bytes of a binary value to `bytes`.
+/// @return whether the value is binary; otherwise `bytes` is unchanged
 bool ReadCborBinary(const nlohmann::json& value, std::string* bytes);
 
 }  // namespace limpetlink
--- a/src/peers/detail/envelope.h
+++ b/src/peers/detail/envelope.h
@@ -1,5 +1,6 @@
 /// @file
-/// @brief PeerEnvelope: who sent a message and which slice reads it.
+/// @brief PeerEnvelope: the sender of a message and the component that
+/// handles it.
 #pragma once
 
 #include <cstdint>
@@ -12,17 +13,17 @@
 
 namespace limpetlink {
 
-/// @brief Version of the envelope; a host refuses any other.
+/// @brief Version of the envelope; a host rejects any other.
 inline constexpr std::uint32_t kPeerEnvelopeVersion = 1;
 
-/// @brief Largest frame between hosts, in bytes: a whole document of 1 MB with
+/// @brief Largest frame between hosts, in bytes: a full document of 1 MB with
 /// its envelope.
 inline constexpr std::size_t kMaxPeerFrameBytes = 1088UL * 1024UL;
 
 /// @brief Longest host id in an envelope, in bytes.
 inline constexpr std::size_t kMaxHostIdBytes = 128;
 
-/// @brief Which slice reads the payload.
+/// @brief The component that handles the payload.
 enum class PeerKind { kMembership, kConfiguration, kDispatch, kRequest };
 
 template <>
@@ -39,31 +40,31 @@
   std::uint32_t version = kPeerEnvelopeVersion;
   HostId from;
   PeerKind kind = PeerKind::kMembership;
-  std::string payload;  ///< CBOR of the slice
+  std::string payload;  ///< CBOR of the component
 };
 
-/// @brief Writes an envelope as a CBOR array [version, from, kind, payload].
+/// @brief Encodes an envelope as a CBOR array [version, from, kind, payload].
 std::string EncodePeerEnvelope(const PeerEnvelope& envelope);
 
-/// @brief Reads an envelope.
+/// @brief Decodes an envelope.
 /// @param bytes a frame
 /// @return the envelope; peer.101 when malformed, too large or of another
 /// version
 absl::StatusOr<PeerEnvelope> DecodePeerEnvelope(std::string_view bytes);
 
-/// @brief Frames taken and refused.
+/// @brief Numbers of accepted and rejected frames.
 struct PeerCounters {
   std::uint64_t accepted = 0;
   std::uint64_t malformed = 0;  ///< also of another envelope version
   std::uint64_t oversized = 0;
   std::uint64_t wrong_sender = 0;  ///< the envelope names another host than
-                                   ///< the one that authenticated
+                                   ///< the authenticated one
 };
 
-/// @brief Opens frames from authenticated peers and counts those refused.
+/// @brief Decodes frames of authenticated peers and counts rejected ones.
 /// @note Example:
 /// @code
-/// const auto envelope = gate.Read(frame);
+/// const auto envelope = reader.Read(frame);
 /// if (envelope.ok()) { route(*envelope); }
 /// @endcode
 class PeerFrameReader {
@@ -71,7 +72,7 @@
   /// @return the envelope, or peer.101
   absl::StatusOr<PeerEnvelope> Read(const PeerFrame& frame);
 
-  /// @return frames counted since the start
+  /// @return frames since the start of the process
   const PeerCounters& Counters() const { return this->counters; }
 
  private:
--- a/src/peers/envelope.cc
+++ b/src/peers/envelope.cc
@@ -9,12 +9,13 @@
 
 constexpr std::size_t kMembers = 4;
 
-absl::Status Malformed(std::string_view what) {
-  return MakeStatus(ErrorCode::kPeerRefused, what);
+absl::Status Malformed(std::string_view detail) {
+  return MakeStatus(ErrorCode::kPeerRefused, detail);
 }
 
-/// @brief Whether the members have the right types; the values may be wrong.
-bool HasShape(const Json& value) {
+/// @brief Returns whether the members have the expected types; does not check
+/// their values.
+bool HasExpectedTypes(const Json& value) {
   return value.is_array() && value.size() == kMembers &&
          value[0].is_number_unsigned() && value[1].is_string() &&
          value[2].is_number_unsigned() && value[3].is_binary();
@@ -29,16 +30,16 @@
 }
 
 absl::StatusOr<PeerEnvelope> DecodePeerEnvelope(std::string_view bytes) {
-  const CborLimits bounds{kMaxPeerFrameBytes, 1, kMembers + 1};
-  const auto value = DecodeCbor(bytes, bounds);
+  const CborLimits limits{kMaxPeerFrameBytes, 1, kMembers + 1};
+  const auto value = DecodeCbor(bytes, limits);
   if (!value.ok()) {
     return value.status();
   }
-  if (!HasShape(*value)) {
+  if (!HasExpectedTypes(*value)) {
     return Malformed("envelope is malformed");
   }
   if ((*value)[0].get<std::uint64_t>() != kPeerEnvelopeVersion) {
-    return Malformed("envelope has another version");
+    return Malformed("envelope has an unsupported version");
   }
   const std::uint64_t kind = (*value)[2].get<std::uint64_t>();
   if (kind > static_cast<std::uint64_t>(PeerKind::kRequest)) {
@@ -48,7 +49,7 @@
   envelope.from = HostId{(*value)[1].get<std::string>()};
   const std::size_t id_bytes = envelope.from.value.size();
   if (id_bytes == 0 || id_bytes > kMaxHostIdBytes) {
-    return Malformed("envelope has no sender");
+    return Malformed("envelope has no valid sender");
   }
   envelope.kind = static_cast<PeerKind>(kind);
   ReadCborBinary((*value)[3], &envelope.payload);
@@ -67,7 +68,7 @@
   }
   if (envelope->from != frame.from) {
     ++this->counters.wrong_sender;
-    return Malformed("envelope names another sender");
+    return Malformed("envelope names another sender than the peer");
   }
   ++this->counters.accepted;
   return envelope;
--- a/src/peers/peers.h
+++ b/src/peers/peers.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief The versioned envelope around every message between entry hosts, and
-/// bounded reading of CBOR.
+/// @brief The versioned envelope of every message between entry hosts, and
+/// CBOR decoding with limits.
 #pragma once
 
 #include "peers/detail/cbor.h"
