--- a/src/configuration/wire.cc
+++ b/src/configuration/wire.cc
@@ -15,7 +15,7 @@
 constexpr std::uint64_t kDeltasTag = 2;
 constexpr std::uint64_t kMaxAgeMilliseconds =
     1000ULL * 3600ULL * 24ULL * 365ULL;
-constexpr CborBounds kLimits{kMaxPeerFrameBytes, 4, 4096};
+constexpr CborLimits kLimits{kMaxPeerFrameBytes, 4, 4096};
 
 Json DigestJson(const ConfigurationDigest& digest) {
   Json age = nullptr;
--- a/src/gateway/forwarding.cc
+++ b/src/gateway/forwarding.cc
@@ -207,7 +207,7 @@
   const ForwardingService* service = flow.table->FindService(flow.service);
   std::vector<LoadCandidate> candidates;
   for (const WorkerRegistration* worker :
-       this->directory->OpenWorkers(flow.service)) {
+       this->directory->AvailableWorkers(flow.service)) {
     LoadCandidate candidate;
     candidate.worker = worker->id;
     candidate.domain = worker->domain;
--- a/src/gateway/forwarding_migration.cc
+++ b/src/gateway/forwarding_migration.cc
@@ -75,7 +75,7 @@
       continue;
     }
     for (const WorkerRegistration* worker :
-         this->directory->OpenWorkers(service.name)) {
+         this->directory->AvailableWorkers(service.name)) {
       if (this->DistanceTo(worker->domain) != Distance::kSameDomain) {
         continue;
       }
@@ -207,7 +207,7 @@
   }
   std::vector<MigrationDestination> destinations;
   for (const WorkerRegistration* worker :
-       this->directory->OpenWorkers(call.worker.service)) {
+       this->directory->AvailableWorkers(call.worker.service)) {
     destinations.push_back({worker->id, worker->domain != call.worker.domain});
   }
   const ForwardingService* service =
--- a/src/gateway/gateway_host.cc
+++ b/src/gateway/gateway_host.cc
@@ -45,26 +45,27 @@
            [this](Instant now, const ObjectRecord& record) {
              this->ApplyDeployment(now, record);
            },
-           [this](Instant now) { this->neighbours.NoteProof(now); }},
+           [this](Instant now) { this->neighbours.OnLinearizableRead(now); }},
+          &this->store),
+      workers(
+          {this->codec.worker_kind,
+           FromSeconds(kWorkersReadInterval *
+                       ToSeconds(this->settings.limits.max_drain_delay)),
+           kWorkersReadPause, this->Phase()},
+          {[this](Instant now, std::vector<ObjectRecord> records) {
+             std::vector<UpstreamId> listed;
+             listed.reserve(records.size());
+             for (const ObjectRecord& record : records) {
+               listed.push_back(UpstreamId{record.name});
+               this->ApplyRegistration(now, record);
+             }
+             this->directory.Retain(now, listed);
+           },
+           [this](Instant now, const ObjectRecord& record) {
+             this->ApplyRegistration(now, record);
+           },
+           [this](Instant now) { this->neighbours.OnLinearizableRead(now); }},
           &this->store),
-      workers({this->codec.worker_kind,
-               FromSeconds(kWorkersReadInterval *
-                           ToSeconds(this->settings.limits.max_drain_delay)),
-               kWorkersReadPause, this->Phase()},
-              {[this](Instant now, std::vector<ObjectRecord> records) {
-                 std::vector<UpstreamId> listed;
-                 listed.reserve(records.size());
-                 for (const ObjectRecord& record : records) {
-                   listed.push_back(UpstreamId{record.name});
-                   this->ApplyRegistration(now, record);
-                 }
-                 this->directory.Retain(now, listed);
-               },
-               [this](Instant now, const ObjectRecord& record) {
-                 this->ApplyRegistration(now, record);
-               },
-               [this](Instant now) { this->neighbours.NoteProof(now); }},
-              &this->store),
       forwarding(
           this->settings, this->codec,
           {[this](Instant now) {
@@ -81,7 +82,7 @@
            [this](Instant now, const UpstreamId& id) {
              this->MarkLeaving(now, id, "the worker", Duration{0});
            },
-           [this](Instant now) { this->neighbours.NoteChange(now); }},
+           [this](Instant now) { this->neighbours.OnStateChanged(now); }},
           &this->directory, &this->metrics),
       neighbours({this->settings.self, this->settings.failure_domain,
                   this->settings.neighbour_address, this->settings.seeds},
@@ -89,49 +90,49 @@
 
 NeighbourHooks GatewayHost::MakeNeighbourHooks() {
   NeighbourHooks hooks;
-  hooks.shares = [this] { return this->forwarding.Loads().LocalLoads(); };
-  hooks.take_shares = [this](Instant now, const HostId& host,
-                             const std::vector<WorkerLoad>& shares) {
+  hooks.local_loads = [this] { return this->forwarding.Loads().LocalLoads(); };
+  hooks.host_loads = [this](Instant now, const HostId& host,
+                            const std::vector<WorkerLoad>& shares) {
     this->forwarding.Loads().ApplyHostLoads(now, host, shares);
   };
-  hooks.found = [this](const HostId& host) {
+  hooks.neighbour_found = [this](const HostId& host) {
     this->Log(LogLevel::kInfo, "neighbour found", {{"neighbour", host.value}});
   };
-  hooks.forget = [this](const HostId& host) {
+  hooks.neighbour_lost = [this](const HostId& host) {
     this->Log(LogLevel::kInfo, "neighbour lost", {{"neighbour", host.value}});
     this->forwarding.Loads().RemoveHost(host);
   };
-  hooks.proofs = [this](Instant now) {
-    std::vector<ToldProof> proofs;
+  hooks.local_reads = [this](Instant now) {
+    std::vector<AdvertisedRead> proofs;
     for (const KindWatch* watch : {&this->deployments, &this->workers}) {
-      if (const std::optional<KindProof>& proof = watch->Proof()) {
+      if (const std::optional<LinearizableRead>& proof = watch->LastRead()) {
         proofs.push_back({proof->kind, proof->changed_at, proof->revision,
                           now - proof->asked_at});
       }
     }
     return proofs;
   };
-  hooks.take_proof = [this](Instant asked_at, const ToldProof& proof) {
+  hooks.neighbour_read = [this](Instant asked_at, const AdvertisedRead& proof) {
     for (KindWatch* watch : {&this->deployments, &this->workers}) {
       if (watch->Kind() == proof.kind) {
-        watch->TakeProof(
+        watch->ApplyLinearizableRead(
             {proof.kind, proof.changed_at, proof.revision, asked_at});
       }
     }
   };
-  hooks.domain_loads = [this] {
+  hooks.own_domain_loads = [this] {
     return this->forwarding.Loads().DomainLoads();
   };
-  hooks.take_domain_loads = [this](Instant now, const DomainLoads& received) {
+  hooks.remote_domain_loads = [this](Instant now, const DomainLoads& received) {
     this->forwarding.Loads().ApplyDomainLoads(now, received.domain,
                                               received.loads);
   };
-  hooks.forget_domain = [this](const FailureDomainId& domain) {
+  hooks.domain_lost = [this](const FailureDomainId& domain) {
     this->Log(LogLevel::kInfo, "failure domain silent",
               {{"domain", domain.value}});
     this->forwarding.Loads().RemoveDomain(domain);
   };
-  hooks.take_leaving = [this](Instant now, const LeavingWorker& worker) {
+  hooks.worker_leaving = [this](Instant now, const LeavingWorker& worker) {
     const WorkerRegistration* known = this->directory.Find(worker.worker);
     if (known != nullptr && known->started_at == worker.started_at) {
       this->MarkLeaving(now, worker.worker, "a neighbour", worker.age);
@@ -147,11 +148,11 @@
 }
 
 void GatewayHost::UpdateStoreReading() {
-  const bool leads = this->neighbours.Leads();
-  this->deployments.SetLeads(leads);
-  this->workers.SetLeads(leads);
+  const bool leads = this->neighbours.IsDomainLeader();
+  this->deployments.SetIsLeader(leads);
+  this->workers.SetIsLeader(leads);
   // The host that reads of a leaving worker first notifies its neighbours.
-  this->workers.SetPause(std::min(
+  this->workers.SetBatchDelay(std::min(
       kMaxWorkersReadPause,
       kWorkersReadPause * (1 + static_cast<int>(this->neighbours.Count()))));
 }
@@ -224,7 +225,7 @@
     const bool answered = result.status == StoreStatus::kOk ||
                           result.status == StoreStatus::kHistoryGone;
     if (answered) {
-      this->directory.NoteContact(now);
+      this->directory.OnStoreResponse(now);
     }
     this->deployments.OnResult(now, &result) ||
         this->workers.OnResult(now, &result);
@@ -270,7 +271,7 @@
              {"before", std::to_string(previous)},
              {"revision", std::to_string(record.version)},
              {"routes", std::to_string(read->routes.size())},
-             {"age_ms", MillisecondsText(this->deployments.Known()
+             {"age_ms", MillisecondsText(this->deployments.HasSnapshot()
                                              ? this->deployments.Age(now)
                                              : Duration{0})}});
   this->table = std::make_shared<const RouteTable>(*std::move(read));
@@ -280,8 +281,8 @@
   const UpstreamId id{record.name};
   const WorkerRegistration* known = this->directory.Find(id);
   if (record.deleted) {
-    if (known != nullptr && !known->draining) {
-      this->neighbours.NoteLeaving(now, {id, known->started_at, {}});
+    if (known != nullptr && !known->leaving) {
+      this->neighbours.OnWorkerLeaving(now, {id, known->started_at, {}});
       // The worker keeps serving for a while.
       this->forwarding.OnLeaving(now, *known, now);
     }
@@ -309,8 +310,8 @@
                          known->address != read->address;
   // Leaving is final for an incarnation of a worker. The worker itself may have
   // reported it before the store does.
-  read->draining = read->draining || (!restarted && known->draining);
-  const bool changed = restarted || known->draining != read->draining ||
+  read->leaving = read->leaving || (!restarted && known->leaving);
+  const bool changed = restarted || known->leaving != read->leaving ||
                        known->service != read->service;
   if (restarted) {
     this->forwarding.RemoveWorker(id);
@@ -321,14 +322,14 @@
                {"service", read->service},
                {"address", read->address},
                {"domain", read->domain.value},
-               {"draining", read->draining ? "true" : "false"},
+               {"draining", read->leaving ? "true" : "false"},
                {"revision", std::to_string(record.version)}});
   }
-  const bool leaves = read->draining && (restarted || !known->draining);
+  const bool leaves = read->leaving && (restarted || !known->leaving);
   const WorkerRegistration worker = *read;
   this->directory.Put(*std::move(read));
   if (leaves) {
-    this->neighbours.NoteLeaving(now, {worker.id, worker.started_at, {}});
+    this->neighbours.OnWorkerLeaving(now, {worker.id, worker.started_at, {}});
     this->forwarding.OnLeaving(now, worker, now);
   }
 }
@@ -336,11 +337,11 @@
 void GatewayHost::MarkLeaving(Instant now, const UpstreamId& id,
                               const char* source, Duration age) {
   const WorkerRegistration* known = this->directory.Find(id);
-  if (known == nullptr || known->draining) {
+  if (known == nullptr || known->leaving) {
     return;
   }
   WorkerRegistration worker = *known;
-  worker.draining = true;
+  worker.leaving = true;
   this->Log(
       LogLevel::kInfo, "worker leaves",
       {{"worker", id.value},
@@ -353,7 +354,7 @@
 
 bool GatewayHost::Ready(Instant now) const {
   if (this->drain_started.has_value() || this->table == nullptr ||
-      !this->workers.Known()) {
+      !this->workers.HasSnapshot()) {
     return false;
   }
   // Not ready before requests with keys have to be refused here, so that
@@ -429,7 +430,7 @@
     this->logged_ready = ready;
     this->Log(LogLevel::kInfo, ready ? "ready" : "not ready",
               {{"configuration_age_ms",
-                this->deployments.Known()
+                this->deployments.HasSnapshot()
                     ? MillisecondsText(this->deployments.Age(now))
                     : "none"},
                {"workers", std::to_string(this->directory.Size())}});
