--- a/bench/entry_slopes.cc
+++ b/bench/entry_slopes.cc
@@ -90,7 +90,7 @@
       const EngineFrame frame{
           {open.generation}, open.next++, " token", std::nullopt};
       this->Step(HttpChunk{call, EncodeSse(EncodeEngineFrame(frame))});
-      this->Step(CallerDrained{open.request, 0});
+      this->Step(CallerBufferDrained{open.request, 0});
     }
   }
 
--- a/fakes/fake_host.cc
+++ b/fakes/fake_host.cc
@@ -18,7 +18,7 @@
   this->now = at;
   if (const auto* const request = std::get_if<CallerRequest>(&event)) {
     this->on_request(*request);
-  } else if (const auto* const gone = std::get_if<CallerGone>(&event)) {
+  } else if (const auto* const gone = std::get_if<CallerDisconnected>(&event)) {
     if (this->on_gone) {
       this->on_gone(gone->id);
     }
--- a/programs/limpet_entry/process.cc
+++ b/programs/limpet_entry/process.cc
@@ -95,7 +95,7 @@
   void Carry(HttpCall call) { this->client.Take(std::move(call)); }
   void Carry(const HttpCancel& cancel) { this->client.Take(cancel); }
   void Carry(const HttpPause& pause) { this->client.Take(pause); }
-  void Carry(const HttpOpen& /*open*/) {}  // calls open their own
+  void Carry(const HttpPreconnect& /*open*/) {}  // calls open their own
   void Carry(PeerSend send) { this->links.Take(std::move(send)); }
   void Carry(const LogLine& line) { this->writer->Write(line, SteadyNow()); }
   void Carry(const SpanRecord& span) { this->writer->Write(span); }
--- a/src/adapters/detail/exchange.h
+++ b/src/adapters/detail/exchange.h
@@ -87,7 +87,7 @@
   /// @param taken bytes copied into `to`
   /// @param drained set when the core is to be told how much is left
   ReadResult Read(char* to, std::size_t max, std::size_t drain_step,
-                  std::size_t* taken, CallerDrained* drained);
+                  std::size_t* taken, CallerBufferDrained* drained);
 
   /// @brief Notes that the caller left, once.
   /// @return whether the core is to be told
--- a/src/adapters/detail/http_server.h
+++ b/src/adapters/detail/http_server.h
@@ -38,10 +38,10 @@
 /// @brief Serves HTTP/1.1. A request is suspended until the core answers; no
 /// thread waits for it.
 ///
-/// Emits CallerRequest once a body is whole, CallerDrained at the latest when
-/// HttpServer::kDrainStep bytes more were taken than last told, and CallerGone
-/// when the caller closes or half-closes its connection before its final
-/// answer.
+/// Emits CallerRequest once a body is whole, CallerBufferDrained at the latest
+/// when HttpServer::kDrainStep bytes more were taken than last told, and
+/// CallerDisconnected when the caller closes or half-closes its connection
+/// before its final answer.
 /// @note Example:
 /// @code
 /// HttpServer server(settings, sink);
--- a/src/adapters/exchange.cc
+++ b/src/adapters/exchange.cc
@@ -193,7 +193,7 @@
 }
 
 ReadResult Exchange::Read(char* to, std::size_t max, std::size_t drain_step,
-                          std::size_t* taken, CallerDrained* drained) {
+                          std::size_t* taken, CallerBufferDrained* drained) {
   const std::lock_guard<std::mutex> lock(this->mutex);
   if (this->cut) {
     return ReadResult::kCut;
--- a/src/adapters/http_server.cc
+++ b/src/adapters/http_server.cc
@@ -262,7 +262,7 @@
                                  char* to, std::size_t max) {
   const auto* const kept = static_cast<Holder*>(holder);
   std::size_t taken = 0;
-  CallerDrained drained;
+  CallerBufferDrained drained;
   const ReadResult result =
       kept->exchange->Read(to, max, HttpServer::kDrainStep, &taken, &drained);
   if (drained.id.value != 0) {
@@ -297,7 +297,7 @@
   }
   if (holder->exchange->Finish() && !server->stopping) {
     ++server->gone;
-    server->sink(CallerGone{holder->exchange->Id()});
+    server->sink(CallerDisconnected{holder->exchange->Id()});
   }
 }
 
@@ -335,7 +335,7 @@
   }
   exchange->Resume();
   ++this->gone;
-  this->sink(CallerGone{id});
+  this->sink(CallerDisconnected{id});
 }
 
 HttpServer::HttpServer(HttpServerSettings settings, EventSink sink)
--- a/src/adapters/tests/http_test.cc
+++ b/src/adapters/tests/http_test.cc
@@ -120,7 +120,7 @@
   SendAll(caller, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n");
   const RequestId id = this->events.Next<CallerRequest>().id;
   close(caller);
-  CHECK(this->events.Next<CallerGone>().id == id);
+  CHECK(this->events.Next<CallerDisconnected>().id == id);
   this->Answer(id, "late");
   CHECK(this->server->Counts().gone == 1);
 }
@@ -134,7 +134,7 @@
   this->server->Take(
       ReplyBody{id, std::string(2 * HttpServer::kDrainStep, 'x')});
   this->server->Flush();
-  CHECK(this->events.Next<CallerDrained>().id == id);
+  CHECK(this->events.Next<CallerBufferDrained>().id == id);
   close(caller);
 }
 
@@ -150,7 +150,7 @@
     this->server->Flush();
   }
   CHECK(this->server->Counts().overflowed == 1);
-  CHECK(this->events.Next<CallerGone>().id == id);
+  CHECK(this->events.Next<CallerDisconnected>().id == id);
   close(caller);
 }
 
--- a/src/entry/completion_handler.cc
+++ b/src/entry/completion_handler.cc
@@ -236,7 +236,7 @@
   this->Close(completion, "caller_gone");
 }
 
-void CompletionHandler::OnCallerDrained(const CallerDrained& drained) {
+void CompletionHandler::OnCallerDrained(const CallerBufferDrained& drained) {
   this->StepStream(this->completions.at(drained.id),
                    StreamBufferDrained{drained.buffered});
 }
--- a/src/entry/detail/completion_handler.h
+++ b/src/entry/detail/completion_handler.h
@@ -33,7 +33,7 @@
 
   // ---- Events from the adapters ----
   void OnCallerGone(RequestId id);
-  void OnCallerDrained(const CallerDrained& drained);
+  void OnCallerDrained(const CallerBufferDrained& drained);
   void OnHead(RequestId id, const HttpHead& head);
   void OnChunk(RequestId id, const HttpChunk& chunk);
   void OnDone(RequestId id, const HttpDone& done);
--- a/src/entry/entry_host.cc
+++ b/src/entry/entry_host.cc
@@ -168,7 +168,7 @@
     return std::nullopt;
   }
 
-  void OnEvent(const CallerGone& gone) {
+  void OnEvent(const CallerDisconnected& gone) {
     if (this->completions.Owns(gone.id)) {
       this->completions.OnCallerGone(gone.id);
     } else if (this->services.Owns(gone.id)) {
@@ -176,7 +176,7 @@
     }
   }
 
-  void OnEvent(const CallerDrained& drained) {
+  void OnEvent(const CallerBufferDrained& drained) {
     if (this->completions.Owns(drained.id)) {
       this->completions.OnCallerDrained(drained);
     }
--- a/src/event_loop/call_client.cc
+++ b/src/event_loop/call_client.cc
@@ -343,7 +343,7 @@
   }
 }
 
-void CallClient::Take(const HttpOpen& open) {
+void CallClient::Take(const HttpPreconnect& open) {
   std::make_shared<CallConnection>(this, open.address)->Open();
 }
 
--- a/src/event_loop/caller_server.cc
+++ b/src/event_loop/caller_server.cc
@@ -99,7 +99,7 @@
     const auto self = this->shared_from_this();
     if (this->Waiting()) {
       this->server->by_request.erase(this->request.value);
-      this->server->hooks.emit(CallerGone{this->request});
+      this->server->hooks.emit(CallerDisconnected{this->request});
       this->request = RequestId{};
     }
     if (this->is_writing) {
@@ -278,7 +278,7 @@
           }
           if (self->Waiting() && !self->reply_finished) {
             self->server->hooks.emit(
-                CallerDrained{self->request, self->output.size()});
+                CallerBufferDrained{self->request, self->output.size()});
           }
           self->Write();
         });
--- a/src/event_loop/detail/call_client.h
+++ b/src/event_loop/detail/call_client.h
@@ -29,7 +29,7 @@
   void Take(HttpCall call);
   void Take(const HttpCancel& cancel);
   void Take(const HttpPause& pause);
-  void Take(const HttpOpen& open);
+  void Take(const HttpPreconnect& open);
 
   /// @brief Closes kept connections that are past their time.
   void Sweep(Instant now);
--- a/src/event_loop/event_loop.cc
+++ b/src/event_loop/event_loop.cc
@@ -182,7 +182,7 @@
   void CarryOne(HttpCall call) { this->client.Take(std::move(call)); }
   void CarryOne(const HttpCancel& cancel) { this->client.Take(cancel); }
   void CarryOne(const HttpPause& pause) { this->client.Take(pause); }
-  void CarryOne(const HttpOpen& open) { this->client.Take(open); }
+  void CarryOne(const HttpPreconnect& open) { this->client.Take(open); }
   void CarryOne(const PeerSend& send) { this->datagrams.Send(send); }
   void CarryOne(const LogLine& line) { this->hooks.log(line, BootNow()); }
   void CarryOne(const SpanRecord& span) { this->hooks.span(span); }
--- a/src/event_loop/tests/event_loop_test.cc
+++ b/src/event_loop/tests/event_loop_test.cc
@@ -196,7 +196,7 @@
                  "[event_loop]") {
   std::atomic<bool> gone{false};
   this->core.step = [&gone](const Event& event) -> Actions {
-    gone = gone || std::holds_alternative<CallerGone>(event);
+    gone = gone || std::holds_alternative<CallerDisconnected>(event);
     return {};
   };
   this->Run();
--- a/src/gateway/detail/forwarding.h
+++ b/src/gateway/detail/forwarding.h
@@ -50,9 +50,9 @@
   /// @brief Sends a request to a worker, or refuses it, at once.
   void OnRequest(Instant now, CallerRequest request);
   /// @brief Cancels the attempts of a caller that disconnected.
-  void OnCallerGone(Instant now, const CallerGone& gone);
+  void OnCallerGone(Instant now, const CallerDisconnected& gone);
   /// @brief Records that a caller read bytes; resumes paused attempts.
-  void OnCallerDrained(Instant now, const CallerDrained& drained);
+  void OnCallerDrained(Instant now, const CallerBufferDrained& drained);
   /// @return whether the call belongs to a request, report or migration
   bool OnHead(Instant now, const HttpHead& head);
   bool OnChunk(Instant now, const HttpChunk& chunk);
--- a/src/gateway/forwarding_migration.cc
+++ b/src/gateway/forwarding_migration.cc
@@ -349,8 +349,8 @@
   this->actions.emplace_back(std::move(call));
   // A leaving worker closes its connection after each response. Opening the
   // next one early keeps that time out of the pause of the handover.
-  this->actions.emplace_back(
-      HttpOpen{final_part ? destination->address : migration.source_address});
+  this->actions.emplace_back(HttpPreconnect{
+      final_part ? destination->address : migration.source_address});
 }
 
 void Forwarding::RetryMigration(Instant now, ForwardedRequest* flow,
--- a/src/gateway/forwarding_responses.cc
+++ b/src/gateway/forwarding_responses.cc
@@ -130,7 +130,7 @@
 }
 
 void Forwarding::OnCallerDrained(Instant /*now*/,
-                                 const CallerDrained& drained) {
+                                 const CallerBufferDrained& drained) {
   const auto found = this->flows.find(drained.id.value);
   if (found == this->flows.end()) {
     return;
@@ -387,7 +387,7 @@
   flow->running.clear();
 }
 
-void Forwarding::OnCallerGone(Instant now, const CallerGone& gone) {
+void Forwarding::OnCallerGone(Instant now, const CallerDisconnected& gone) {
   const auto found = this->flows.find(gone.id.value);
   if (found == this->flows.end()) {
     return;
--- a/src/gateway/gateway_host.cc
+++ b/src/gateway/gateway_host.cc
@@ -178,9 +178,9 @@
     } else {
       this->forwarding.OnRequest(now, *request);
     }
-  } else if (const auto* gone = std::get_if<CallerGone>(&event)) {
+  } else if (const auto* gone = std::get_if<CallerDisconnected>(&event)) {
     this->forwarding.OnCallerGone(now, *gone);
-  } else if (const auto* drained = std::get_if<CallerDrained>(&event)) {
+  } else if (const auto* drained = std::get_if<CallerBufferDrained>(&event)) {
     this->forwarding.OnCallerDrained(now, *drained);
   } else if (const auto* frame = std::get_if<PeerFrame>(&event)) {
     if (!this->neighbours.OnFrame(now, *frame)) {
--- a/src/gateway/tests/gateway_fixture.cc
+++ b/src/gateway/tests/gateway_fixture.cc
@@ -316,7 +316,9 @@
   return RequestId{this->last_request};
 }
 
-void GatewayFixture::Disconnect(RequestId id) { this->Deliver(CallerGone{id}); }
+void GatewayFixture::Disconnect(RequestId id) {
+  this->Deliver(CallerDisconnected{id});
+}
 
 std::vector<HttpCall> GatewayFixture::TakeCalls() {
   std::vector<HttpCall> taken;
--- a/src/ports/ports.h
+++ b/src/ports/ports.h
@@ -69,12 +69,12 @@
 
 /// @brief The caller closed its connection; nothing sent to it arrives any
 /// more.
-struct CallerGone {
+struct CallerDisconnected {
   RequestId id;
 };
 
 /// @brief The caller took bytes of the answer from the adapter's buffer.
-struct CallerDrained {
+struct CallerBufferDrained {
   RequestId id;
   std::size_t buffered = 0;  ///< bytes still in the adapter's buffer
 };
@@ -128,7 +128,7 @@
 
 /// @brief Opens a connection ahead of the call that will need it. An adapter
 /// may pass this over; calls then open their own.
-struct HttpOpen {
+struct HttpPreconnect {
   std::string address;  ///< "ip:port"
 };
 
@@ -233,13 +233,14 @@
 };
 
 /// @brief What may happen to the core.
-using Event = std::variant<CallerRequest, CallerGone, CallerDrained, HttpHead,
-                           HttpChunk, HttpDone, PeerFrame, WallClockRead>;
+using Event =
+    std::variant<CallerRequest, CallerDisconnected, CallerBufferDrained,
+                 HttpHead, HttpChunk, HttpDone, PeerFrame, WallClockRead>;
 
 /// @brief What the core may order.
 using Action =
     std::variant<ReplyHead, ReplyBody, ReplyEnd, HttpCall, HttpCancel,
-                 HttpPause, HttpOpen, PeerSend, LogLine, SpanRecord>;
+                 HttpPause, HttpPreconnect, PeerSend, LogLine, SpanRecord>;
 
 /// @brief Orders in the sequence in which they are to be carried out.
 using Actions = std::vector<Action>;
--- a/tests/core/world.cc
+++ b/tests/core/world.cc
@@ -340,7 +340,7 @@
   log.aborted = true;
   log.ended_at = this->timeline.Now();
   this->hosts[log.host].callers.erase(log.request.id.value);
-  this->Deliver(log.host, CallerGone{log.request.id});
+  this->Deliver(log.host, CallerDisconnected{log.request.id});
 }
 
 bool World::Over(std::size_t caller) const {
