--- a/src/dispatch/core_wait.cc
+++ b/src/dispatch/core_wait.cc
@@ -119,7 +119,7 @@
     return true;
   }
   const auto& all_workers = this->router.WorkersOf(submit.target);
-  if (!this->router.AnyOpen(this->now, all_workers, submit.excluded)) {
+  if (!this->router.AnyAvailable(this->now, all_workers, submit.excluded)) {
     this->RefuseEntry(entry, ErrorCode::kRoutingNoUpstream,
                       "no worker accepts new work", kNoUpstreamRetryAfter);
     return true;
--- a/src/dispatch/detail/limit_table.h
+++ b/src/dispatch/detail/limit_table.h
@@ -38,8 +38,8 @@
 
   /// @brief Counts the start of a request against its organisation's limits.
   /// @param is_retry whether the request is a retry
-  LimitAnswer Begin(Instant now, const OrganisationId& organisation,
-                    bool is_retry);
+  LimitDecision Begin(Instant now, const OrganisationId& organisation,
+                      bool is_retry);
 
   /// @brief Counts the end of a request.
   /// @param held how long the request was in progress
@@ -47,7 +47,7 @@
 
   /// @return how long a refused caller should wait before its next attempt
   Duration RetryAfter(Instant now, const OrganisationId& organisation,
-                      LimitAnswer decision) const;
+                      LimitDecision decision) const;
 
   /// @brief Collects the limit requests due to the limits' owners: only for
   /// organisations whose load comes close to their fallback share. Limits that
@@ -67,7 +67,7 @@
     LimitShare total;
     HostId owner;
     HostLimit local;
-    ShareOwner allocator;
+    ShareAllocator allocator;
   };
 
   void Refresh(const OrganisationId& organisation, Limits& limits);
--- a/src/gateway/detail/forwarding.h
+++ b/src/gateway/detail/forwarding.h
@@ -65,7 +65,7 @@
                  Instant noticed_at);
 
   /// @brief Drops the load of a worker that terminated or restarted.
-  void RemoveWorker(const UpstreamId& worker) { this->loads.Forget(worker); }
+  void RemoveWorker(const UpstreamId& worker) { this->loads.Remove(worker); }
 
   /// @brief Advances the timers: deadlines, hedged attempts and migrations;
   /// polls engines for their load.
--- a/src/gateway/detail/gateway_host.h
+++ b/src/gateway/detail/gateway_host.h
@@ -34,7 +34,7 @@
   bool Drained() const;
 
   /// @return the current limits on callers' requests
-  CallerBounds Bounds() const;
+  HttpLimits Bounds() const;
 
   /// @return whether callers may still connect; after Drain() they may until
   /// the load balancer has noticed
--- a/src/gateway/forwarding.cc
+++ b/src/gateway/forwarding.cc
@@ -123,7 +123,7 @@
     return problem;
   }
   flow->service = ChooseService(*flow->route, this->random.Fraction());
-  const ForwardingService* service = flow->table->Service(flow->service);
+  const ForwardingService* service = flow->table->FindService(flow->service);
   flow->on_engine = service != nullptr && service->engine.has_value();
   const CallerMetadata& caller = flow->metadata;
   if (flow->on_engine) {
@@ -175,7 +175,7 @@
     return outdated;
   }
   if (flow->metadata.key.has_value()) {
-    flow->holder = active.table->HolderOf(*flow->metadata.key);
+    flow->holder = active.table->FindKeyHolder(*flow->metadata.key);
   }
   if (flow->holder != nullptr) {
     return std::nullopt;
@@ -204,7 +204,7 @@
 
 std::vector<LoadCandidate> Forwarding::Candidates(
     const ForwardedRequest& flow) const {
-  const ForwardingService* service = flow.table->Service(flow.service);
+  const ForwardingService* service = flow.table->FindService(flow.service);
   std::vector<LoadCandidate> candidates;
   for (const WorkerRegistration* worker :
        this->directory->OpenWorkers(flow.service)) {
@@ -293,8 +293,9 @@
        {"prompt_tokens", std::to_string(flow->size.prompt_tokens)},
        {"memory_tokens", std::to_string(flow->size.tokens)},
        {"own_running", std::to_string(choice->own_running)},
-       {"others_running", std::to_string(choice->others.running)},
-       {"others_tokens_to_read", std::to_string(choice->others.waiting_tokens)},
+       {"others_running", std::to_string(choice->other_hosts.running)},
+       {"others_tokens_to_read",
+        std::to_string(choice->other_hosts.waiting_tokens)},
        {"report_age_ms",
         choice->report_age ? MillisecondsText(*choice->report_age) : "none"},
        {"configuration", std::to_string(flow->table->Contents().version)},
--- a/src/gateway/forwarding_responses.cc
+++ b/src/gateway/forwarding_responses.cc
@@ -52,11 +52,11 @@
   }
   attempt->status = head.status;
   attempt->headers = head.headers;
-  this->loads.Started(attempt->worker, flow->size);
+  this->loads.RecordFirstByte(attempt->worker, flow->size);
   this->hooks.loads_changed(now);
   attempt->response = this->codec.worker_response(head.headers);
   if (attempt->response.load.has_value()) {
-    this->loads.Report(now, attempt->worker, *attempt->response.load);
+    this->loads.ApplyReport(now, attempt->worker, *attempt->response.load);
   }
   const bool success = head.status >= 200 && head.status < 300;
   const bool wrong_request =
@@ -199,7 +199,7 @@
   const bool moving =
       flow.migration.has_value() && flow.migration->source == attempt.worker;
   if (!moving) {  // a leaving worker hasn't failed
-    this->loads.Note(now, attempt.worker, failed, silent);
+    this->loads.RecordAttempt(now, attempt.worker, failed, silent);
   }
   if (end == AttemptEnd::kNotConnected) {
     ++flow.connect_failures;
@@ -381,7 +381,7 @@
     this->loads.End(now, attempt.worker, flow->size, attempt.status != 0);
     this->hooks.loads_changed(now);
     if (silent && attempt.status == 0) {
-      this->loads.Note(now, attempt.worker, true, true);
+      this->loads.RecordAttempt(now, attempt.worker, true, true);
     }
   }
   flow->running.clear();
@@ -440,9 +440,10 @@
     const std::size_t engines = this->RequestLoadReports(now);
     const double intervals =
         std::max(1.0, static_cast<double>(engines) / kReportsPerInterval);
-    const double backoff = std::min(
-        kMaxPollBackoff, 1.0 + static_cast<double>(this->loads.HostsTelling()) /
-                                   kHostsPerExtraInterval);
+    const double backoff =
+        std::min(kMaxPollBackoff,
+                 1.0 + static_cast<double>(this->loads.AdvertisingHosts()) /
+                           kHostsPerExtraInterval);
     this->next_load_poll =
         now + FromSeconds(intervals * backoff * ToSeconds(kLoadPollInterval));
   }
--- a/src/routes/route_table.cc
+++ b/src/routes/route_table.cc
@@ -16,7 +16,7 @@
   return name;
 }
 
-bool Begins(std::string_view path, const std::string& prefix) {
+bool HasPrefix(std::string_view path, const std::string& prefix) {
   return path.substr(0, prefix.size()) == prefix;
 }
 
@@ -53,21 +53,22 @@
   }
   for (const std::size_t index : found->second) {
     const ForwardingRoute& route = this->deployment.routes[index];
-    if (Begins(path, route.path_prefix)) {
+    if (HasPrefix(path, route.path_prefix)) {
       return &route;
     }
   }
   return nullptr;
 }
 
-const KeyHolder* RouteTable::HolderOf(std::string_view key) const {
+const KeyHolder* RouteTable::FindKeyHolder(std::string_view key) const {
   const auto found = this->by_digest.find(Sha256Hex(key));
   return found == this->by_digest.end()
              ? nullptr
              : &this->deployment.holders[found->second];
 }
 
-const ForwardingService* RouteTable::Service(const std::string& name) const {
+const ForwardingService* RouteTable::FindService(
+    const std::string& name) const {
   const auto found = this->by_service.find(name);
   return found == this->by_service.end()
              ? nullptr
@@ -76,18 +77,18 @@
 
 const std::string& ChooseService(const ForwardingRoute& route,
                                  double fraction) {
-  double sum = 0;
-  for (const ServiceShare& share : route.shares) {
-    sum += share.weight;
+  double total_weight = 0;
+  for (const WeightedService& target : route.services) {
+    total_weight += target.weight;
   }
-  double left = fraction * sum;
-  for (const ServiceShare& share : route.shares) {
-    left -= share.weight;
-    if (left < 0) {
-      return share.service;
+  double remaining = fraction * total_weight;
+  for (const WeightedService& target : route.services) {
+    remaining -= target.weight;
+    if (remaining < 0) {
+      return target.service;
     }
   }
-  return route.shares.front().service;
+  return route.services.front().service;
 }
 
 }  // namespace limpetlink
--- a/src/routes/tests/route_table_test.cc
+++ b/src/routes/tests/route_table_test.cc
@@ -10,7 +10,7 @@
   route.name = std::move(name);
   route.host = "Fleet.Example";
   route.path_prefix = std::move(prefix);
-  route.shares = {{"engines", 1.0}};
+  route.services = {{"engines", 1.0}};
   return route;
 }
 
@@ -36,7 +36,7 @@
 };
 
 TEST_CASE_METHOD(RouteTableFixture,
-                 "route table, several prefixes fit, takes the longest",
+                 "route table, several prefixes match, finds the longest",
                  "[routes]") {
   CHECK(this->NameOf("fleet.example", "/trial/long/7") == "trial-long");
   CHECK(this->NameOf("fleet.example", "/trial/7") == "trial");
@@ -44,38 +44,38 @@
 }
 
 TEST_CASE_METHOD(RouteTableFixture,
-                 "route table, host with port and other case, is found",
+                 "route table, host with port and other case, finds the route",
                  "[routes]") {
   CHECK(this->NameOf("FLEET.example:8080", "/trial/7") == "trial");
   CHECK(this->NameOf("other.example", "/trial/7").empty());
 }
 
 TEST_CASE_METHOD(RouteTableFixture,
-                 "route table, encoded path, is compared as it was sent",
+                 "route table, percent-encoded path, is not decoded",
                  "[routes]") {
   CHECK(this->NameOf("fleet.example", "/trial%2Flong/7") == "all");
 }
 
-TEST_CASE_METHOD(RouteTableFixture, "route table, key, names its holder only",
+TEST_CASE_METHOD(RouteTableFixture, "route table, key, finds only its holder",
                  "[routes]") {
-  REQUIRE(this->table.HolderOf("key-1") != nullptr);
-  CHECK(this->table.HolderOf("key-1")->organisation.value == "panel");
-  CHECK(this->table.HolderOf("key-2") == nullptr);
-  CHECK(this->table.HolderOf("") == nullptr);
+  REQUIRE(this->table.FindKeyHolder("key-1") != nullptr);
+  CHECK(this->table.FindKeyHolder("key-1")->organisation.value == "panel");
+  CHECK(this->table.FindKeyHolder("key-2") == nullptr);
+  CHECK(this->table.FindKeyHolder("") == nullptr);
 }
 
-TEST_CASE("split route, weights 90 and 10, divides the fractions so",
+TEST_CASE("split route, weights 90 and 10, selects services by weight",
           "[routes]") {
   ForwardingRoute route;
-  route.shares = {{"first", 90}, {"second", 10}};
+  route.services = {{"first", 90}, {"second", 10}};
   CHECK(ChooseService(route, 0.0) == "first");
   CHECK(ChooseService(route, 0.89) == "first");
   CHECK(ChooseService(route, 0.91) == "second");
 }
 
-TEST_CASE("split route, weight 0, is never chosen", "[routes]") {
+TEST_CASE("split route, weight 0, is never selected", "[routes]") {
   ForwardingRoute route;
-  route.shares = {{"none", 0}, {"all", 10}};
+  route.services = {{"none", 0}, {"all", 10}};
   CHECK(ChooseService(route, 0.0) == "all");
   CHECK(ChooseService(route, 0.999) == "all");
 }
