--- a/bench/relay.cc
+++ b/bench/relay.cc
@@ -77,7 +77,7 @@
                   std::to_string(length) + R"(,"stream":true,"generation":")" +
                   url.substr(url.rfind(':')) + std::to_string(id) + R"("})";
       this->begun[id] = SteadyNow();
-      this->client.Take(std::move(call));
+      this->client.Execute(std::move(call));
       this->client.Flush();
       std::this_thread::sleep_for(kStagger);
     }
--- a/fakes/fake_host.cc
+++ b/fakes/fake_host.cc
@@ -145,13 +145,13 @@
     return 1;
   }
   ActionHooks hooks;
-  hooks.carry = [&server](Action action) {
+  hooks.execute = [&server](Action action) {
     if (const auto* const head = std::get_if<ReplyHead>(&action)) {
-      server.Take(*head);
+      server.Execute(*head);
     } else if (auto* const body = std::get_if<ReplyBody>(&action)) {
-      server.Take(std::move(*body));
+      server.Execute(std::move(*body));
     } else if (const auto* const end = std::get_if<ReplyEnd>(&action)) {
-      server.Take(*end);
+      server.Execute(*end);
     }
   };
   hooks.flush = [&server] { server.Flush(); };
--- a/programs/limpet_entry/adapter_metrics.cc
+++ b/programs/limpet_entry/adapter_metrics.cc
@@ -29,7 +29,8 @@
   AddGauge(text, "limpet_callers_open", "Requests without their final answer.",
            counts.open);
   AddCounter(text, "limpet_callers_gone_total",
-             "Callers that left before their final answer.", counts.gone);
+             "Callers that left before their final answer.",
+             counts.disconnected);
   AddCounter(text, "limpet_callers_too_large_total", "Bodies over the bound.",
              counts.too_large);
   AddCounter(text, "limpet_callers_overflowed_total",
@@ -46,7 +47,7 @@
   AddCounter(text, "limpet_calls_timeout_total",
              "HTTP calls that reached their time limit.", counts.timeout);
   AddCounter(text, "limpet_calls_repeats_refused_total",
-             "Second sends that were stopped.", counts.repeats_refused);
+             "Second sends that were stopped.", counts.resends_blocked);
 }
 
 void AddLinks(std::string* text, const PeerLinksCounts& counts) {
@@ -59,9 +60,10 @@
   AddCounter(text, "limpet_peer_frames_dropped_total",
              "Frames to peers that were dropped.", counts.frames_dropped);
   AddCounter(text, "limpet_peer_strangers_refused_total",
-             "Links without the shared secret.", counts.strangers_refused);
+             "Links without the shared secret.",
+             counts.unauthenticated_rejected);
   AddCounter(text, "limpet_peer_malformed_refused_total",
-             "Frames that were none.", counts.malformed_refused);
+             "Frames that were none.", counts.malformed_rejected);
 }
 
 }  // namespace
--- a/programs/limpet_entry/gateway_process.cc
+++ b/programs/limpet_entry/gateway_process.cc
@@ -89,7 +89,7 @@
  private:
   EventLoopHooks Hooks() {
     EventLoopHooks hooks;
-    hooks.bounds = [this] { return this->host.Bounds(); };
+    hooks.http_limits = [this] { return this->host.Bounds(); };
     hooks.accepts_callers = [this] { return this->host.AcceptsCallers(); };
     hooks.reload = [this] { this->Reload(); };
     hooks.log = [this](const LogLine& line, Instant now) {
--- a/programs/limpet_entry/process.cc
+++ b/programs/limpet_entry/process.cc
@@ -56,7 +56,7 @@
 
   ActionHooks Hooks() {
     ActionHooks hooks;
-    hooks.carry = [this](Action action) {
+    hooks.execute = [this](Action action) {
       std::visit(
           [this](auto&& order) {
             this->Carry(std::forward<decltype(order)>(order));
@@ -81,22 +81,22 @@
     };
   }
 
-  void Carry(const ReplyHead& head) { this->server.Take(head); }
-  void Carry(ReplyBody body) { this->server.Take(std::move(body)); }
+  void Carry(const ReplyHead& head) { this->server.Execute(head); }
+  void Carry(ReplyBody body) { this->server.Execute(std::move(body)); }
   void Carry(const ReplyEnd& end) {
     if (this->metrics.Forget(end.id)) {
-      this->server.Take(ReplyBody{
+      this->server.Execute(ReplyBody{
           end.id,
           RenderAdapterMetrics({this->server.Counts(), this->client.Counts(),
                                 this->links.Counts(), this->loop->Counts()})});
     }
-    this->server.Take(end);
+    this->server.Execute(end);
   }
-  void Carry(HttpCall call) { this->client.Take(std::move(call)); }
-  void Carry(const HttpCancel& cancel) { this->client.Take(cancel); }
-  void Carry(const HttpPause& pause) { this->client.Take(pause); }
+  void Carry(HttpCall call) { this->client.Execute(std::move(call)); }
+  void Carry(const HttpCancel& cancel) { this->client.Execute(cancel); }
+  void Carry(const HttpPause& pause) { this->client.Execute(pause); }
   void Carry(const HttpPreconnect& /*open*/) {}  // calls open their own
-  void Carry(PeerSend send) { this->links.Take(std::move(send)); }
+  void Carry(PeerSend send) { this->links.Send(std::move(send)); }
   void Carry(const LogLine& line) { this->writer->Write(line, SteadyNow()); }
   void Carry(const SpanRecord& span) { this->writer->Write(span); }
 
--- a/programs/limpet_placement/main.cc
+++ b/programs/limpet_placement/main.cc
@@ -12,11 +12,11 @@
 /// Carries the core's orders: calls go to the client, lines to the log.
 ActionHooks HooksOf(HttpClient* client, LineWriter* writer) {
   ActionHooks hooks;
-  hooks.carry = [client, writer](Action action) {
+  hooks.execute = [client, writer](Action action) {
     if (auto* call = std::get_if<HttpCall>(&action)) {
-      client->Take(std::move(*call));
+      client->Execute(std::move(*call));
     } else if (const auto* cancel = std::get_if<HttpCancel>(&action)) {
-      client->Take(*cancel);
+      client->Execute(*cancel);
     } else if (const auto* line = std::get_if<LogLine>(&action)) {
       writer->Write(*line, SteadyNow());
     }
--- a/src/adapters/core_loop.cc
+++ b/src/adapters/core_loop.cc
@@ -77,14 +77,14 @@
   return this->drain_requested && !draining;
 }
 
-void CoreLoop::Carry(Actions actions, const ActionHooks& hooks) {
+void CoreLoop::Execute(Actions actions, const ActionHooks& hooks) {
   for (Action& action : actions) {
-    hooks.carry(std::move(action));
+    hooks.execute(std::move(action));
   }
 }
 
 void CoreLoop::Run(const ActionHooks& actions) {
-  this->Carry(this->core.start(SteadyNow()), actions);
+  this->Execute(this->core.start(SteadyNow()), actions);
   actions.flush();
   bool draining = false;
   while (true) {
@@ -92,14 +92,14 @@
     const bool drain_now = this->WaitForWork(&batch, draining);
     const Instant begun = SteadyNow();
     for (const Event& event : batch) {
-      this->Carry(this->core.step(SteadyNow(), event), actions);
+      this->Execute(this->core.step(SteadyNow(), event), actions);
     }
     if (drain_now) {
       draining = true;
-      this->Carry(this->core.drain(SteadyNow()), actions);
+      this->Execute(this->core.drain(SteadyNow()), actions);
     }
     if (this->core.next_wakeup() <= SteadyNow()) {
-      this->Carry(this->core.tick(SteadyNow()), actions);
+      this->Execute(this->core.tick(SteadyNow()), actions);
     }
     actions.flush();
     const bool ended = draining && this->core.drained() && actions.idle();
--- a/src/adapters/detail/core_loop.h
+++ b/src/adapters/detail/core_loop.h
@@ -25,9 +25,9 @@
 
 /// @brief Where the core's orders go.
 struct ActionHooks {
-  std::function<void(Action)> carry;  ///< one order
-  std::function<void()> flush;        ///< after a batch of orders
-  std::function<bool()> idle;         ///< whether no reply is still being sent
+  std::function<void(Action)> execute;  ///< one order
+  std::function<void()> flush;          ///< after a batch of orders
+  std::function<bool()> idle;  ///< whether no reply is still being sent
 };
 
 /// @brief Makes hooks that drive a core with EntryHost's interface.
@@ -97,7 +97,7 @@
 
  private:
   bool WaitForWork(std::deque<Event>* batch, bool draining);
-  void Carry(Actions actions, const ActionHooks& hooks);
+  void Execute(Actions actions, const ActionHooks& hooks);
 
   CoreHooks core;
   mutable std::mutex mutex;  ///< guards all below
--- a/src/adapters/detail/http_client.h
+++ b/src/adapters/detail/http_client.h
@@ -24,7 +24,7 @@
   std::uint64_t cut = 0;
   std::uint64_t timeout = 0;
   std::uint64_t cancelled = 0;
-  std::uint64_t repeats_refused =
+  std::uint64_t resends_blocked =
       0;  ///< second sends by the library that were stopped
 };
 
@@ -40,7 +40,8 @@
 /// @code
 /// HttpClient client(HttpClientSettings{}, sink);
 /// client.Start();
-/// client.Take(HttpCall{CallId{1}, "GET", "http://127.0.0.1:8000/v1/hosts", {},
+/// client.Execute(HttpCall{CallId{1}, "GET", "http://127.0.0.1:8000/v1/hosts",
+/// {},
 /// {}}); client.Flush();
 /// @endcode
 class HttpClient {
@@ -60,9 +61,9 @@
 
   /// @brief Queues an order; it is carried out after the next Flush. Any
   /// thread.
-  void Take(HttpCall call);
-  void Take(const HttpCancel& cancel);
-  void Take(const HttpPause& pause);
+  void Execute(HttpCall call);
+  void Execute(const HttpCancel& cancel);
+  void Execute(const HttpPause& pause);
 
   /// @brief Wakes the thread for what was queued.
   void Flush();
--- a/src/adapters/detail/http_server.h
+++ b/src/adapters/detail/http_server.h
@@ -27,9 +27,10 @@
 
 /// @brief Counts of an HttpServer since its start.
 struct HttpServerCounts {
-  std::uint64_t requests = 0;   ///< requests handed to the core
-  std::uint64_t open = 0;       ///< requests without a final answer now
-  std::uint64_t gone = 0;       ///< callers that left before their final answer
+  std::uint64_t requests = 0;  ///< requests handed to the core
+  std::uint64_t open = 0;      ///< requests without a final answer now
+  std::uint64_t disconnected =
+      0;                        ///< callers that left before their final answer
   std::uint64_t too_large = 0;  ///< bodies over the bound
   std::uint64_t overflowed =
       0;  ///< callers cut since their reply's buffer was full
@@ -46,8 +47,8 @@
 /// @code
 /// HttpServer server(settings, sink);
 /// absl::Status status = server.Start();
-/// server.Take(ReplyHead{id, 200, {}});
-/// server.Take(ReplyEnd{id});
+/// server.Execute(ReplyHead{id, 200, {}});
+/// server.Execute(ReplyEnd{id});
 /// server.Flush();
 /// @endcode
 class HttpServer {
@@ -75,9 +76,9 @@
   std::uint16_t Port() const;
 
   /// @brief Carries an order out; unknown requests are passed over. Any thread.
-  void Take(const ReplyHead& head);
-  void Take(ReplyBody body);
-  void Take(const ReplyEnd& end);
+  void Execute(const ReplyHead& head);
+  void Execute(ReplyBody body);
+  void Execute(const ReplyEnd& end);
 
   /// @brief Wakes the connections that got something since the last Flush.
   void Flush();
--- a/src/adapters/detail/peer_links.h
+++ b/src/adapters/detail/peer_links.h
@@ -23,10 +23,10 @@
   std::size_t max_buffered_bytes =
       1U << 20U;                ///< in a link's socket before frames queue
   std::size_t max_links = 512;  ///< more are refused
-  std::chrono::milliseconds handshake_limit{3000};
-  std::chrono::milliseconds idle_close{
+  std::chrono::milliseconds handshake_timeout{3000};
+  std::chrono::milliseconds idle_timeout{
       60'000};  ///< after nothing was sent or came
-  std::chrono::milliseconds retry_hold{
+  std::chrono::milliseconds retry_delay{
       200};  ///< after a link failed, before the next try
 };
 
@@ -40,9 +40,9 @@
   std::uint64_t bytes_received = 0;
   std::uint64_t frames_dropped =
       0;  ///< oldest of a full queue, or of a link that failed
-  std::uint64_t strangers_refused =
+  std::uint64_t unauthenticated_rejected =
       0;  ///< wrong secret, wrong host or no proof in time
-  std::uint64_t malformed_refused =
+  std::uint64_t malformed_rejected =
       0;  ///< frames that are no frames; over-long ones too
 };
 
@@ -55,7 +55,7 @@
 /// @code
 /// PeerLinks links(settings, sink);
 /// absl::Status status = links.Start();
-/// links.Take(PeerSend{HostId{"b"}, "127.0.0.1:7101", frame});
+/// links.Send(PeerSend{HostId{"b"}, "127.0.0.1:7101", frame});
 /// @endcode
 class PeerLinks {
  public:
@@ -77,7 +77,7 @@
   std::uint16_t Port() const;
 
   /// @brief Queues a frame; never blocks. Any thread.
-  void Take(PeerSend send);
+  void Send(PeerSend send);
 
   /// @return counts since the start
   PeerLinksCounts Counts() const;
--- a/src/adapters/http_client.cc
+++ b/src/adapters/http_client.cc
@@ -182,7 +182,7 @@
 void HttpClient::Impl::Count(const Transfer& transfer, HttpEnd end) {
   const std::lock_guard<std::mutex> lock(this->mutex);
   --this->counts.open;
-  this->counts.repeats_refused += transfer.RepeatRefused() ? 1 : 0;
+  this->counts.resends_blocked += transfer.RepeatRefused() ? 1 : 0;
   switch (end) {
     case HttpEnd::kComplete:
       ++this->counts.complete;
@@ -205,9 +205,9 @@
 
 void HttpClient::Start() { this->impl->Start(); }
 void HttpClient::Stop() { this->impl->Stop(); }
-void HttpClient::Take(HttpCall call) { this->impl->Push(std::move(call)); }
-void HttpClient::Take(const HttpCancel& cancel) { this->impl->Push(cancel); }
-void HttpClient::Take(const HttpPause& pause) { this->impl->Push(pause); }
+void HttpClient::Execute(HttpCall call) { this->impl->Push(std::move(call)); }
+void HttpClient::Execute(const HttpCancel& cancel) { this->impl->Push(cancel); }
+void HttpClient::Execute(const HttpPause& pause) { this->impl->Push(pause); }
 void HttpClient::Flush() { this->impl->Flush(); }
 HttpClientCounts HttpClient::Counts() const { return this->impl->Counts(); }
 
--- a/src/adapters/http_server.cc
+++ b/src/adapters/http_server.cc
@@ -40,7 +40,7 @@
 
   HttpServerSettings settings;
   std::atomic<std::uint64_t> requests{0};
-  std::atomic<std::uint64_t> gone{0};
+  std::atomic<std::uint64_t> disconnected{0};
   std::atomic<std::uint64_t> too_large{0};
   std::atomic<std::uint64_t> overflowed{0};
   std::mutex mutex;  ///< guards exchanges and touched
@@ -296,7 +296,7 @@
     server->exchanges.erase(holder->exchange->Id());
   }
   if (holder->exchange->Finish() && !server->stopping) {
-    ++server->gone;
+    ++server->disconnected;
     server->sink(CallerDisconnected{holder->exchange->Id()});
   }
 }
@@ -334,7 +334,7 @@
     return;
   }
   exchange->Resume();
-  ++this->gone;
+  ++this->disconnected;
   this->sink(CallerDisconnected{id});
 }
 
@@ -347,14 +347,14 @@
 std::uint16_t HttpServer::Port() const { return this->impl->Port(); }
 void HttpServer::Flush() { this->impl->Flush(); }
 
-void HttpServer::Take(const ReplyHead& head) {
+void HttpServer::Execute(const ReplyHead& head) {
   if (const ExchangePointer exchange = this->impl->Find(head.id)) {
     exchange->SetHead(head);
     this->impl->Touch(exchange);
   }
 }
 
-void HttpServer::Take(ReplyBody body) {
+void HttpServer::Execute(ReplyBody body) {
   const ExchangePointer exchange = this->impl->Find(body.id);
   if (exchange == nullptr) {
     return;
@@ -366,7 +366,7 @@
   this->impl->Touch(exchange);
 }
 
-void HttpServer::Take(const ReplyEnd& end) {
+void HttpServer::Execute(const ReplyEnd& end) {
   if (const ExchangePointer exchange = this->impl->Find(end.id)) {
     exchange->End(end.abort);
     this->impl->Touch(exchange);
@@ -376,7 +376,7 @@
 HttpServerCounts HttpServer::Counts() const {
   HttpServerCounts counts;
   counts.requests = this->impl->requests;
-  counts.gone = this->impl->gone;
+  counts.disconnected = this->impl->disconnected;
   counts.too_large = this->impl->too_large;
   counts.overflowed = this->impl->overflowed;
   const std::lock_guard<std::mutex> lock(this->impl->mutex);
--- a/src/adapters/peer_links.cc
+++ b/src/adapters/peer_links.cc
@@ -71,7 +71,7 @@
 
   absl::Status Start();
   void Stop();
-  void Take(PeerSend send);
+  void Send(PeerSend send);
 
   PeerLinksCounts Counts() const {
     const std::lock_guard<std::mutex> lock(this->mutex);
@@ -147,7 +147,7 @@
     }
   };
   const auto limit =
-      static_cast<long>(this->settings.handshake_limit.count());  // NOLINT
+      static_cast<long>(this->settings.handshake_timeout.count());  // NOLINT
   connection->set_open_handshake_timeout(limit);
   connection->set_close_handshake_timeout(limit);
   connection->set_max_message_size(kMaxHandshakeBytes);
@@ -176,7 +176,7 @@
     const Server::connection_ptr connection =
         this->server.get_con_from_hdl(handle, error);
     if (error || this->links.size() >= this->settings.max_links) {
-      this->Add(&PeerLinksCounts::strangers_refused);
+      this->Add(&PeerLinksCounts::unauthenticated_rejected);
       return false;
     }
     const auto link = std::make_shared<Link>(
@@ -236,7 +236,7 @@
   this->links.clear();
 }
 
-void PeerLinks::Impl::Take(PeerSend send) {
+void PeerLinks::Impl::Send(PeerSend send) {
   bool wake = false;
   {
     const std::lock_guard<std::mutex> lock(this->mutex);
@@ -336,7 +336,7 @@
     return;
   }
   if (!binary) {
-    this->Refuse(link, &PeerLinksCounts::malformed_refused);
+    this->Refuse(link, &PeerLinksCounts::malformed_rejected);
     return;
   }
   if (!link->authenticated) {
@@ -362,7 +362,7 @@
     return;
   }
   if (!answer.has_value()) {
-    this->Refuse(link, &PeerLinksCounts::strangers_refused);
+    this->Refuse(link, &PeerLinksCounts::unauthenticated_rejected);
     return;
   }
   link->send(*answer);
@@ -409,15 +409,15 @@
     --this->counts.open;
   } else if (link->connecting) {
     this->held_until[link->handshake.Peer()] =
-        Clock::now() + this->settings.retry_hold;
+        Clock::now() + this->settings.retry_delay;
   }
 }
 
 void PeerLinks::Impl::SweepLink(const LinkPointer& link,
                                 Clock::time_point now) {
   if (!link->authenticated) {
-    if (now - link->begun > this->settings.handshake_limit) {
-      this->Refuse(link, &PeerLinksCounts::strangers_refused);
+    if (now - link->begun > this->settings.handshake_timeout) {
+      this->Refuse(link, &PeerLinksCounts::unauthenticated_rejected);
     }
     return;
   }
@@ -425,8 +425,8 @@
   // A link that takes nothing any more is as good as cut: its peer is frozen or
   // unreachable.
   const bool stuck = link->buffered() > 0 &&
-                     now - link->last_use > this->settings.handshake_limit;
-  if (stuck || now - link->last_use > this->settings.idle_close) {
+                     now - link->last_use > this->settings.handshake_timeout;
+  if (stuck || now - link->last_use > this->settings.idle_timeout) {
     link->close();
     this->Closed(link);
   }
@@ -456,7 +456,7 @@
 absl::Status PeerLinks::Start() { return this->impl->Start(); }
 void PeerLinks::Stop() { this->impl->Stop(); }
 std::uint16_t PeerLinks::Port() const { return this->impl->Port(); }
-void PeerLinks::Take(PeerSend send) { this->impl->Take(std::move(send)); }
+void PeerLinks::Send(PeerSend send) { this->impl->Send(std::move(send)); }
 PeerLinksCounts PeerLinks::Counts() const { return this->impl->Counts(); }
 
 }  // namespace limpetlink
--- a/src/adapters/tests/core_loop_test.cc
+++ b/src/adapters/tests/core_loop_test.cc
@@ -75,13 +75,13 @@
 
   ActionHooks Hooks() {
     ActionHooks hooks;
-    hooks.carry = [this](Action action) {
+    hooks.execute = [this](Action action) {
       if (const auto* const head = std::get_if<ReplyHead>(&action)) {
-        this->server.Take(*head);
+        this->server.Execute(*head);
       } else if (auto* const body = std::get_if<ReplyBody>(&action)) {
-        this->server.Take(std::move(*body));
+        this->server.Execute(std::move(*body));
       } else if (const auto* const end = std::get_if<ReplyEnd>(&action)) {
-        this->server.Take(*end);
+        this->server.Execute(*end);
       }
     };
     hooks.flush = [this] { this->server.Flush(); };
@@ -96,7 +96,7 @@
     call.method = "POST";
     call.url = "http://127.0.0.1:" + std::to_string(this->server.Port()) + path;
     call.body = body;
-    this->client.Take(call);
+    this->client.Execute(call);
     this->client.Flush();
   }
 
--- a/src/adapters/tests/http_test.cc
+++ b/src/adapters/tests/http_test.cc
@@ -19,9 +19,9 @@
   }
 
   void Answer(RequestId id, const std::string& body) {
-    this->server->Take(ReplyHead{id, 200, {{"X-Test", "yes"}}});
-    this->server->Take(ReplyBody{id, body});
-    this->server->Take(ReplyEnd{id});
+    this->server->Execute(ReplyHead{id, 200, {{"X-Test", "yes"}}});
+    this->server->Execute(ReplyBody{id, body});
+    this->server->Execute(ReplyEnd{id});
     this->server->Flush();
   }
 
@@ -40,7 +40,7 @@
     call.method = method;
     call.url = url;
     call.body = body;
-    this->client.Take(call);
+    this->client.Execute(call);
     this->client.Flush();
   }
 
@@ -82,7 +82,7 @@
                  "http, a reply in many parts, it arrives whole and in order") {
   this->Call(1, "GET", this->Url("/stream"));
   const RequestId id = this->events.Next<CallerRequest>().id;
-  this->server->Take(
+  this->server->Execute(
       ReplyHead{id, 200, {{"Content-Type", "text/event-stream"}}});
   this->server->Flush();
   CHECK(this->answers.Next<HttpHead>().status == 200);
@@ -90,12 +90,12 @@
   for (int part = 0; part < 500; ++part) {
     const std::string bytes = "part " + std::to_string(part) + "\n";
     wanted += bytes;
-    this->server->Take(ReplyBody{id, bytes});
+    this->server->Execute(ReplyBody{id, bytes});
     if (part % 7 == 0) {
       this->server->Flush();
     }
   }
-  this->server->Take(ReplyEnd{id});
+  this->server->Execute(ReplyEnd{id});
   this->server->Flush();
   CHECK(this->answers.Next<HttpDone>().end == HttpEnd::kComplete);
   CHECK(this->answers.BodyOf(CallId{1}) == wanted);
@@ -106,9 +106,9 @@
     "http, an aborted reply, the caller sees that it is not whole") {
   this->Call(1, "GET", this->Url("/"));
   const RequestId id = this->events.Next<CallerRequest>().id;
-  this->server->Take(ReplyHead{id, 200, {}});
-  this->server->Take(ReplyBody{id, "begun"});
-  this->server->Take(ReplyEnd{id, true});
+  this->server->Execute(ReplyHead{id, 200, {}});
+  this->server->Execute(ReplyBody{id, "begun"});
+  this->server->Execute(ReplyEnd{id, true});
   this->server->Flush();
   CHECK(this->answers.Next<HttpDone>().end == HttpEnd::kCut);
 }
@@ -122,7 +122,7 @@
   close(caller);
   CHECK(this->events.Next<CallerDisconnected>().id == id);
   this->Answer(id, "late");
-  CHECK(this->server->Counts().gone == 1);
+  CHECK(this->server->Counts().disconnected == 1);
 }
 
 TEST_CASE_METHOD(ServerFixture,
@@ -130,8 +130,8 @@
   const int caller = ConnectTo(this->server->Port());
   SendAll(caller, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
   const RequestId id = this->events.Next<CallerRequest>().id;
-  this->server->Take(ReplyHead{id, 200, {}});
-  this->server->Take(
+  this->server->Execute(ReplyHead{id, 200, {}});
+  this->server->Execute(
       ReplyBody{id, std::string(2 * HttpServer::kDrainStep, 'x')});
   this->server->Flush();
   CHECK(this->events.Next<CallerBufferDrained>().id == id);
@@ -144,9 +144,9 @@
   const int caller = ConnectTo(this->server->Port());
   SendAll(caller, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
   const RequestId id = this->events.Next<CallerRequest>().id;
-  this->server->Take(ReplyHead{id, 200, {}});
+  this->server->Execute(ReplyHead{id, 200, {}});
   for (int i = 0; i < 64 && this->server->Counts().overflowed == 0; ++i) {
-    this->server->Take(ReplyBody{id, std::string(1U << 20U, 'x')});
+    this->server->Execute(ReplyBody{id, std::string(1U << 20U, 'x')});
     this->server->Flush();
   }
   CHECK(this->server->Counts().overflowed == 1);
@@ -213,7 +213,7 @@
   CHECK(ReadUntil(upstream, "\r\n\r\n").find("/second") != std::string::npos);
   close(upstream);
   CHECK(this->answers.Next<HttpDone>(1).end == HttpEnd::kCut);
-  CHECK(this->client.Counts().repeats_refused == 1);
+  CHECK(this->client.Counts().resends_blocked == 1);
 }
 
 TEST_CASE_METHOD(ClientFixture,
@@ -242,7 +242,7 @@
   call.method = "GET";
   call.url = listener.Url("/");
   call.total_timeout = std::chrono::milliseconds(20);
-  this->client.Take(call);
+  this->client.Execute(call);
   this->client.Flush();
   CHECK(this->answers.Next<HttpDone>().end == HttpEnd::kTimeout);
 }
@@ -253,7 +253,7 @@
   this->Call(1, "POST", listener.Url("/"), "order");
   const int upstream = listener.Accept();
   ReadUntil(upstream, "order");
-  this->client.Take(HttpCancel{CallId{1}});
+  this->client.Execute(HttpCancel{CallId{1}});
   this->client.Flush();
   CHECK(ReadUntil(upstream, "never").empty());
   CHECK(this->client.Counts().cancelled == 1);
@@ -268,10 +268,10 @@
   ReadUntil(upstream, "\r\n\r\n");
   SendAll(upstream, "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n");
   this->answers.Next<HttpHead>();
-  this->client.Take(HttpPause{CallId{1}, true});
+  this->client.Execute(HttpPause{CallId{1}, true});
   this->client.Flush();
   SendAll(upstream, "12345678");
-  this->client.Take(HttpPause{CallId{1}, false});
+  this->client.Execute(HttpPause{CallId{1}, false});
   this->client.Flush();
   CHECK(this->answers.Next<HttpDone>().end == HttpEnd::kComplete);
   CHECK(this->answers.BodyOf(CallId{1}) == "12345678");
@@ -285,7 +285,7 @@
   call.method = "GET";
   call.url = this->Url("/");
   call.headers = {{"X-Bad", "a\r\nX-Smuggled: b"}, {"X-Good", "c"}};
-  this->client.Take(call);
+  this->client.Execute(call);
   this->client.Flush();
   const CallerRequest request = this->events.Next<CallerRequest>();
   CHECK(FindHeader(request.headers, "X-Smuggled") == nullptr);
--- a/src/adapters/tests/peer_links_test.cc
+++ b/src/adapters/tests/peer_links_test.cc
@@ -43,14 +43,14 @@
   const auto a = this->Open("a", "secret");
   const auto b = this->Open("b", "secret");
   for (int i = 0; i < 50; ++i) {
-    a->Take(To("b", *b, "frame " + std::to_string(i)));
+    a->Send(To("b", *b, "frame " + std::to_string(i)));
   }
   for (std::size_t i = 0; i < 50; ++i) {
     const PeerFrame frame = this->events["b"].Next<PeerFrame>(i);
     CHECK(frame.from == HostId{"a"});
     CHECK(frame.bytes == "frame " + std::to_string(i));
   }
-  b->Take(To("a", *a, "back"));
+  b->Send(To("a", *a, "back"));
   CHECK(this->events["a"].Next<PeerFrame>().bytes == "back");
   CHECK(b->Counts().opened == 1);
 }
@@ -59,8 +59,8 @@
                  "peer links, another secret, it is refused and counted") {
   const auto a = this->Open("a", "wrong");
   const auto b = this->Open("b", "secret");
-  a->Take(To("b", *b, "frame"));
-  WaitUntil([&] { return a->Counts().strangers_refused == 1; });
+  a->Send(To("b", *b, "frame"));
+  WaitUntil([&] { return a->Counts().unauthenticated_rejected == 1; });
   CHECK(b->Counts().frames_received == 0);
   CHECK(a->Counts().frames_dropped == 1);
 }
@@ -69,8 +69,8 @@
                  "peer links, another host at the address, it is refused") {
   const auto a = this->Open("a", "secret");
   const auto b = this->Open("b", "secret");
-  a->Take(To("c", *b, "frame"));
-  WaitUntil([&] { return b->Counts().strangers_refused == 1; });
+  a->Send(To("c", *b, "frame"));
+  WaitUntil([&] { return b->Counts().unauthenticated_rejected == 1; });
   CHECK(b->Counts().frames_received == 0);
 }
 
@@ -79,10 +79,10 @@
     "peer links, an over-long frame, its link ends and others go on") {
   const auto a = this->Open("a", "secret");
   const auto b = this->Open("b", "secret");
-  a->Take(To("b", *b, std::string(200'000, 'x')));
+  a->Send(To("b", *b, std::string(200'000, 'x')));
   WaitUntil([&] { return a->Counts().opened == 1 && a->Counts().open == 0; });
   CHECK(b->Counts().frames_received == 0);
-  a->Take(To("b", *b, "small"));
+  a->Send(To("b", *b, "small"));
   CHECK(this->events["b"].Next<PeerFrame>().bytes == "small");
 }
 
@@ -94,7 +94,7 @@
   SendAll(stranger, std::string(5000, '\xff') + "\r\n\r\n");
   ReadUntil(stranger, "never");
   close(stranger);
-  a->Take(To("b", *b, "frame"));
+  a->Send(To("b", *b, "frame"));
   CHECK(this->events["b"].Next<PeerFrame>().bytes == "frame");
 }
 
@@ -103,7 +103,7 @@
     "peer links, a peer restarted at its address, frames pass again") {
   const auto a = this->Open("a", "secret");
   auto b = this->Open("b", "secret");
-  a->Take(To("b", *b, "first"));
+  a->Send(To("b", *b, "first"));
   this->events["b"].Next<PeerFrame>();
   const PeerSend again = To("b", *b, "second");
   b.reset();
@@ -114,7 +114,7 @@
   b = std::make_unique<PeerLinks>(settings, this->events["b"].Sink());
   REQUIRE(b->Start().ok());
   WaitUntil([&] {
-    a->Take(again);
+    a->Send(again);
     return b->Counts().frames_received > 0;
   });
 }
--- a/src/event_loop/call_client.cc
+++ b/src/event_loop/call_client.cc
@@ -313,7 +313,7 @@
   }
 }
 
-void CallClient::Take(HttpCall call) {
+void CallClient::Execute(HttpCall call) {
   std::string_view rest(call.url);
   rest.remove_prefix(std::min(rest.size(), kScheme.size()));
   const std::size_t slash = std::min(rest.find('/'), rest.size());
@@ -327,7 +327,7 @@
   connection->Begin(std::move(call), std::move(target));
 }
 
-void CallClient::Take(const HttpCancel& cancel) {
+void CallClient::Execute(const HttpCancel& cancel) {
   const auto found = this->by_call.find(cancel.id.value);
   if (found != this->by_call.end()) {
     const Connection connection = found->second;
@@ -336,14 +336,14 @@
   }
 }
 
-void CallClient::Take(const HttpPause& pause) {
+void CallClient::Execute(const HttpPause& pause) {
   const auto found = this->by_call.find(pause.id.value);
   if (found != this->by_call.end()) {
     found->second->Pause(pause.paused);
   }
 }
 
-void CallClient::Take(const HttpPreconnect& open) {
+void CallClient::Execute(const HttpPreconnect& open) {
   std::make_shared<CallConnection>(this, open.address)->Open();
 }
 
--- a/src/event_loop/caller_server.cc
+++ b/src/event_loop/caller_server.cc
@@ -69,15 +69,15 @@
 
   bool Waiting() const { return this->request.value != 0; }
 
-  void Sweep(Instant now, const HttpLimits& bounds) {
+  void Sweep(Instant now, const HttpLimits& limits) {
     if (this->Waiting() || this->is_writing) {
       return;
     }
     const bool begun = this->parser->got_some() || !this->input.empty();
-    if (begun && now - this->begun_at > bounds.header_timeout &&
+    if (begun && now - this->begun_at > limits.header_timeout &&
         !this->parser->is_header_done()) {
       this->Refuse(kTimedOut);
-    } else if (now - this->quiet_since > bounds.idle_timeout) {
+    } else if (now - this->quiet_since > limits.idle_timeout) {
       this->Close();
     }
   }
@@ -114,11 +114,11 @@
   using Parser = http::request_parser<http::string_body>;
 
   void NewParser() {
-    const HttpLimits bounds = this->server->hooks.bounds();
+    const HttpLimits limits = this->server->hooks.http_limits();
     this->parser.emplace();
     this->parser->eager(true);
-    this->parser->header_limit(static_cast<std::uint32_t>(bounds.header_bytes));
-    this->parser->body_limit(bounds.body_bytes);
+    this->parser->header_limit(static_cast<std::uint32_t>(limits.header_bytes));
+    this->parser->body_limit(limits.body_bytes);
   }
 
   void Read() {
@@ -391,7 +391,7 @@
       });
 }
 
-bool CallerServer::Take(const ReplyHead& head) {
+bool CallerServer::Execute(const ReplyHead& head) {
   const auto found = this->by_request.find(head.id.value);
   if (found == this->by_request.end()) {
     return false;
@@ -401,7 +401,7 @@
   return true;
 }
 
-bool CallerServer::Take(ReplyBody* body) {
+bool CallerServer::Execute(ReplyBody* body) {
   const auto found = this->by_request.find(body->id.value);
   if (found == this->by_request.end()) {
     return false;
@@ -411,7 +411,7 @@
   return true;
 }
 
-bool CallerServer::Take(const ReplyEnd& end) {
+bool CallerServer::Execute(const ReplyEnd& end) {
   const auto found = this->by_request.find(end.id.value);
   if (found == this->by_request.end()) {
     return false;
@@ -430,10 +430,10 @@
 }
 
 void CallerServer::Sweep(Instant now) {
-  const HttpLimits bounds = this->hooks.bounds();
+  const HttpLimits limits = this->hooks.http_limits();
   const std::set<Connection> all = this->connections;
   for (const Connection& connection : all) {
-    connection->Sweep(now, bounds);
+    connection->Sweep(now, limits);
   }
 }
 
--- a/src/event_loop/detail/call_client.h
+++ b/src/event_loop/detail/call_client.h
@@ -22,14 +22,14 @@
  public:
   using Emit = std::function<void(Event)>;
 
-  /// @param emit takes the events; never called from within Take
+  /// @param emit takes the events; never called from within Execute
   CallClient(asio::io_context* context, Emit emit);
   ~CallClient();
 
-  void Take(HttpCall call);
-  void Take(const HttpCancel& cancel);
-  void Take(const HttpPause& pause);
-  void Take(const HttpPreconnect& open);
+  void Execute(HttpCall call);
+  void Execute(const HttpCancel& cancel);
+  void Execute(const HttpPause& pause);
+  void Execute(const HttpPreconnect& open);
 
   /// @brief Closes kept connections that are past their time.
   void Sweep(Instant now);
--- a/src/event_loop/detail/caller_server.h
+++ b/src/event_loop/detail/caller_server.h
@@ -20,8 +20,8 @@
 
 /// @brief What a server asks of its loop.
 struct CallerServerHooks {
-  std::function<void(Event)> emit;  ///< never called from within Take
-  std::function<HttpLimits()> bounds;
+  std::function<void(Event)> emit;  ///< never called from within Execute
+  std::function<HttpLimits()> http_limits;
   std::function<RequestId()> next_id;
 };
 
@@ -36,9 +36,9 @@
   std::uint16_t Port() const;
 
   /// @return whether the request is one of this server's
-  bool Take(const ReplyHead& head);
-  bool Take(ReplyBody* body);
-  bool Take(const ReplyEnd& end);
+  bool Execute(const ReplyHead& head);
+  bool Execute(ReplyBody* body);
+  bool Execute(const ReplyEnd& end);
 
   /// @brief Writes what was taken since the last flush.
   void Flush();
--- a/src/event_loop/detail/event_loop.h
+++ b/src/event_loop/detail/event_loop.h
@@ -22,10 +22,10 @@
 
 /// @brief What the loop asks of the process around it.
 struct EventLoopHooks {
-  std::function<HttpLimits()> bounds;     ///< for callers' requests
-  std::function<bool()> accepts_callers;  ///< false closes the listener and
-                                          ///< idle connections
-  std::function<void()> reload;           ///< SIGHUP, and every kReloadCheck
+  std::function<HttpLimits()> http_limits;  ///< for callers' requests
+  std::function<bool()> accepts_callers;    ///< false closes the listener and
+                                            ///< idle connections
+  std::function<void()> reload;             ///< SIGHUP, and every kReloadCheck
   std::function<void(const LogLine&, Instant)> log;
   std::function<void(const SpanRecord&)> span;
 };
--- a/src/event_loop/event_loop.cc
+++ b/src/event_loop/event_loop.cc
@@ -68,7 +68,7 @@
     this->WaitForSignal();
     this->WaitForSweep();
     this->WaitForReload();
-    this->Carry(this->core.start(BootNow()));
+    this->Execute(this->core.start(BootNow()));
     this->Settle();
     this->context.run();
     return !this->ended_at_once;
@@ -84,7 +84,7 @@
  private:
   event_loop::CallerServerHooks ServerHooks() {
     return {[this](Event event) { this->Post(std::move(event)); },
-            this->hooks.bounds,
+            this->hooks.http_limits,
             [this] { return RequestId{++this->last_request}; }};
   }
 
@@ -104,10 +104,10 @@
       while (!this->queue.empty()) {
         const Event event = std::move(this->queue.front());
         this->queue.pop_front();
-        this->Carry(this->core.step(BootNow(), event));
+        this->Execute(this->core.step(BootNow(), event));
       }
       if (this->core.next_wakeup() <= BootNow()) {
-        this->Carry(this->core.tick(BootNow()));
+        this->Execute(this->core.tick(BootNow()));
       }
       this->callers.Flush();
       this->operators.Flush();
@@ -155,37 +155,37 @@
   void Drain() {
     if (!this->draining) {
       this->draining = true;
-      this->Carry(this->core.drain(BootNow()));
+      this->Execute(this->core.drain(BootNow()));
       this->Settle();
     }
   }
 
-  void Carry(Actions actions) {
+  void Execute(Actions actions) {
     for (Action& action : actions) {
       std::visit(
           [this](auto&& order) {
-            this->CarryOne(std::forward<decltype(order)>(order));
+            this->ExecuteOne(std::forward<decltype(order)>(order));
           },
           std::move(action));
     }
   }
 
-  void CarryOne(const ReplyHead& head) {
-    this->callers.Take(head) || this->operators.Take(head);
+  void ExecuteOne(const ReplyHead& head) {
+    this->callers.Execute(head) || this->operators.Execute(head);
   }
-  void CarryOne(ReplyBody body) {
-    this->callers.Take(&body) || this->operators.Take(&body);
+  void ExecuteOne(ReplyBody body) {
+    this->callers.Execute(&body) || this->operators.Execute(&body);
   }
-  void CarryOne(const ReplyEnd& end) {
-    this->callers.Take(end) || this->operators.Take(end);
+  void ExecuteOne(const ReplyEnd& end) {
+    this->callers.Execute(end) || this->operators.Execute(end);
   }
-  void CarryOne(HttpCall call) { this->client.Take(std::move(call)); }
-  void CarryOne(const HttpCancel& cancel) { this->client.Take(cancel); }
-  void CarryOne(const HttpPause& pause) { this->client.Take(pause); }
-  void CarryOne(const HttpPreconnect& open) { this->client.Take(open); }
-  void CarryOne(const PeerSend& send) { this->datagrams.Send(send); }
-  void CarryOne(const LogLine& line) { this->hooks.log(line, BootNow()); }
-  void CarryOne(const SpanRecord& span) { this->hooks.span(span); }
+  void ExecuteOne(HttpCall call) { this->client.Execute(std::move(call)); }
+  void ExecuteOne(const HttpCancel& cancel) { this->client.Execute(cancel); }
+  void ExecuteOne(const HttpPause& pause) { this->client.Execute(pause); }
+  void ExecuteOne(const HttpPreconnect& open) { this->client.Execute(open); }
+  void ExecuteOne(const PeerSend& send) { this->datagrams.Send(send); }
+  void ExecuteOne(const LogLine& line) { this->hooks.log(line, BootNow()); }
+  void ExecuteOne(const SpanRecord& span) { this->hooks.span(span); }
 
   void WaitForSignal() {
     this->signals.async_wait(
--- a/src/event_loop/tests/event_loop_test.cc
+++ b/src/event_loop/tests/event_loop_test.cc
@@ -84,7 +84,7 @@
  public:
   EventLoopFixture() {
     EventLoopHooks hooks;
-    hooks.bounds = [this] { return this->bounds; };
+    hooks.http_limits = [this] { return this->http_limits; };
     hooks.accepts_callers = [this] { return !this->core.Drained(); };
     hooks.reload = [] {};
     hooks.log = [](const LogLine&, Instant) {};
@@ -126,7 +126,7 @@
   }
 
   ScriptedCore core;
-  HttpLimits bounds;
+  HttpLimits http_limits;
   asio::io_context context;
   std::unique_ptr<EventLoop> loop;
   std::thread thread;
@@ -178,8 +178,8 @@
 TEST_CASE_METHOD(EventLoopFixture,
                  "event loop, head or body over its bound, is refused",
                  "[event_loop]") {
-  this->bounds.header_bytes = 1024;
-  this->bounds.body_bytes = 100;
+  this->http_limits.header_bytes = 1024;
+  this->http_limits.body_bytes = 100;
   this->core.step = [](const Event& /*event*/) { return Actions{}; };
   this->Run();
   CHECK(this->Exchange("GET / HTTP/1.1\r\nHost: h\r\nX: " +
--- a/tests/process/test_caller.cc
+++ b/tests/process/test_caller.cc
@@ -80,7 +80,7 @@
   call.body = body;
   call.headers = std::move(headers);
   const CallId id = call.id;
-  this->client.Take(std::move(call));
+  this->client.Execute(std::move(call));
   this->client.Flush();
   return id;
 }
@@ -106,7 +106,7 @@
 }
 
 void TestCaller::Cancel(CallId id) {
-  this->client.Take(HttpCancel{id});
+  this->client.Execute(HttpCancel{id});
   this->client.Flush();
 }
 
