--- a/src/base/base.h
+++ b/src/base/base.h
@@ -1,7 +1,6 @@
 /// @file
-/// @brief What every slice shares: time, identifiers, error codes, tables of
-/// enum names,
-///        seeded random numbers and hashing.
+/// @brief Basic types of all components: time, identifiers, error codes, enum
+/// names, seeded random numbers and hashing.
 #pragma once
 
 #include "base/detail/enum_table.h"
--- a/src/base/detail/enum_table.h
+++ b/src/base/detail/enum_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The one idiom for enum-to-text tables.
+/// @brief Conversion between enum values and their names.
 #pragma once
 
 #include <array>
@@ -9,21 +9,23 @@
 
 namespace limpetlink {
 
-/// @brief One row of a table of names.
+/// @brief The name of one enum value.
 template <typename Enum>
 struct EnumName {
   Enum value;
   std::string_view name;
 };
 
-/// @brief Names of an enum's values; specialise with `static constexpr
-/// EnumName<Enum> kRows[]`.
+/// @brief Maps an enum's values to names.
+///
+/// Specialise it with a member `static constexpr EnumName<Enum> kRows[]`.
 /// @note Example:
 /// @code
 /// enum class Colour { kRed, kBlue };
-/// template <> struct EnumTable<Colour> {
-///   static constexpr EnumName<Colour> kRows[] = {{Colour::kRed, "red"},
-///   {Colour::kBlue, "blue"}};
+/// template <>
+/// struct EnumTable<Colour> {
+///   static constexpr EnumName<Colour> kRows[] = {
+///       {Colour::kRed, "red"}, {Colour::kBlue, "blue"}};
 /// };
 /// ToText(Colour::kRed);           // "red"
 /// ParseEnum<Colour>("blue");      // Colour::kBlue
@@ -31,8 +33,8 @@
 template <typename Enum>
 struct EnumTable;
 
-/// @brief Gives an enum value's name.
-/// @param value a value listed in the enum's table
+/// @brief Returns the name of an enum value.
+/// @param value a value of the enum
 /// @return the name, or "?" for a value outside the table
 /// @note Complexity: linear in the table's size.
 template <typename Enum>
@@ -45,9 +47,9 @@
   return "?";
 }
 
-/// @brief Finds the enum value that a name stands for.
+/// @brief Returns the enum value with a given name.
 /// @param name the text, matched exactly
-/// @return the value, or nothing when no row has that name
+/// @return the value, or std::nullopt when no value has that name
 /// @note Complexity: linear in the table's size.
 template <typename Enum>
 constexpr std::optional<Enum> ParseEnum(std::string_view name) {
--- a/src/base/detail/error.h
+++ b/src/base/detail/error.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Stable error codes, the outcome they tell the caller, and their
-/// carriage in absl::Status.
+/// @brief Stable error codes, the outcome reported to the caller, and their
+/// encoding in absl::Status.
 #pragma once
 
 #include <optional>
@@ -13,10 +13,10 @@
 
 namespace limpetlink {
 
-/// @brief What a caller may conclude about the request it sent.
+/// @brief Whether an upstream executed a request, as reported to the caller.
 enum class Outcome {
   kNotRun,   ///< no byte of the request can have reached an upstream, or the
-             ///< upstream said so
+             ///< upstream reported that it did not run the request
   kRan,      ///< the upstream ran the request
   kUnknown,  ///< the request may have run
 };
@@ -28,8 +28,8 @@
                                                 {Outcome::kUnknown, "unknown"}};
 };
 
-/// @brief Every error a caller or operator can meet; numbers never change
-/// meaning.
+/// @brief Every error reported to callers and operators. The number of a code
+/// never changes its meaning.
 enum class ErrorCode {
   kRequestMalformed,
   kRequestTooLarge,
@@ -70,56 +70,61 @@
   kPeerRefused,
 };
 
-/// @brief One row of the table of error codes.
+/// @brief The stable text, HTTP status and title of an error code.
 struct ErrorInfo {
   ErrorCode code;
-  std::string_view name;   ///< stable text, as "admission.102"
-  int http_status;         ///< status of the answer to a caller
-  std::string_view title;  ///< one line for a person
+  std::string_view name;   ///< stable text, such as "admission.102"
+  int http_status;         ///< status of the response to the caller
+  std::string_view title;  ///< one line for human readers
 };
 
-/// @brief Looks up a code's row. Linear in the table's size.
-/// @param code any code
-/// @return its row; every code has one
+/// @brief Returns the table entry of an error code.
+/// @param code any code; every code has an entry
+/// @note Complexity: linear in the number of codes.
 const ErrorInfo& Describe(ErrorCode code);
 
-/// @brief Finds a code by its stable text.
-/// @param name as "admission.102"
-/// @return the code, or nothing
+/// @brief Returns the error code with a given stable text.
+/// @param name the text, such as "admission.102"
+/// @return the code, or std::nullopt when the text is unknown
 std::optional<ErrorCode> ParseErrorCode(std::string_view name);
 
-/// @brief A refusal or failure as a caller sees it.
+/// @brief A rejection or failure as reported to a caller.
 struct Problem {
   ErrorCode code = ErrorCode::kRequestMalformed;
   Outcome outcome = Outcome::kNotRun;
-  std::string detail;  ///< what happened, for a person; never holds a secret
-  std::optional<Duration> retry_after;  ///< when to come back, where that helps
+  std::string detail;  ///< explanation for human readers; contains no secret
+  std::optional<Duration>
+      retry_after;  ///< when to retry, if a retry can succeed
 };
 
 /// @brief Renders a problem as an application/problem+json body.
-/// @param problem what to tell
+/// @param problem the problem to render
 /// @return JSON text with type, title, status, code, outcome, detail and
 /// retry_after (seconds)
-/// @note Example: `ToProblemJson({ErrorCode::kRequestNoKey, Outcome::kNotRun,
-/// "no key", {}})`
+/// @note Example:
+/// @code
+/// ToProblemJson({ErrorCode::kRequestNoKey, Outcome::kNotRun, "no key", {}});
+/// @endcode
 std::string ToProblemJson(const Problem& problem);
 
-/// @brief Makes a status that carries an error code.
-/// @param code the stable code
-/// @param detail what happened
+/// @brief Creates a status that carries an error code.
+/// @param code the error code
+/// @param detail explanation for human readers
 /// @return a status whose message starts with the code's text
 absl::Status MakeStatus(ErrorCode code, std::string_view detail);
 
-/// @brief Reads the error code that a status carries.
-/// @return the code, or nothing when the status carries none
+/// @brief Returns the error code that a status carries.
+/// @return the code, or std::nullopt when the status carries none
 std::optional<ErrorCode> ErrorCodeOf(const absl::Status& status);
 
-/// @brief Reads what happened out of a status made by MakeStatus.
-/// @return the message without the leading code
+/// @brief Returns the detail that was passed to MakeStatus.
+/// @return the status message without the leading error code
 std::string DetailOf(const absl::Status& status);
 
-/// @brief Makes the problem that refuses a request nothing of which was sent.
-/// @param status made by MakeStatus; one without a code counts as request.101
+/// @brief Converts a status to the problem that rejects a request of which
+/// nothing was sent to an upstream.
+/// @param status a status made by MakeStatus; a status without an error code
+/// is treated as request.101
 Problem RefusalOf(const absl::Status& status);
 
 }  // namespace limpetlink
--- a/src/base/detail/ids.h
+++ b/src/base/detail/ids.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Identifiers that must not be mixed up, each its own type.
+/// @brief Identifiers with a distinct type for each kind of entity.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,8 @@
 
 namespace limpetlink {
 
-/// @brief A text identifier whose type says what it names.
-/// @tparam Tag an empty type that keeps identifiers of different things apart
+/// @brief A text identifier typed by the kind of entity that it identifies.
+/// @tparam Tag an empty type that distinguishes the kinds of identifiers
 template <typename Tag>
 struct TextId {
   std::string value;
@@ -26,8 +26,9 @@
   }
 };
 
-/// @brief A numeric identifier whose type says what it names; 0 names nothing.
-/// @tparam Tag an empty type that keeps identifiers of different things apart
+/// @brief A numeric identifier typed by the kind of entity that it identifies;
+/// 0 identifies nothing.
+/// @tparam Tag an empty type that distinguishes the kinds of identifiers
 template <typename Tag>
 struct NumberId {
   std::uint64_t value = 0;
@@ -43,14 +44,14 @@
 using UpstreamId = TextId<struct UpstreamTag>;
 /// @brief An organisation whose callers use the system.
 using OrganisationId = TextId<struct OrganisationTag>;
-/// @brief A failure domain; every host and upstream stands in one.
+/// @brief A failure domain; every host and upstream belongs to one.
 using FailureDomainId = TextId<struct FailureDomainTag>;
-/// @brief A generation run by an engine; chosen by the entry host, unique for
-/// all time.
+/// @brief A generation run by an engine. The entry host chooses the identifier,
+/// which is never reused.
 using GenerationId = TextId<struct GenerationTag>;
-/// @brief A caller's request within one entry host.
+/// @brief A caller's request, unique within one entry host.
 using RequestId = NumberId<struct RequestTag>;
-/// @brief An HTTP call made by one entry host.
+/// @brief An HTTP call, unique within the entry host that makes it.
 using CallId = NumberId<struct CallTag>;
 
 }  // namespace limpetlink
--- a/src/base/detail/random.h
+++ b/src/base/detail/random.h
@@ -1,12 +1,12 @@
 /// @file
-/// @brief Seeded random numbers that give the same sequence on every platform.
+/// @brief Pseudo-random numbers with the same sequence on every platform.
 #pragma once
 
 #include <cstdint>
 
 namespace limpetlink {
 
-/// @brief SplitMix64 generator; satisfies UniformRandomBitGenerator.
+/// @brief SplitMix64 generator that satisfies UniformRandomBitGenerator.
 class Random {
  public:
   using result_type = std::uint64_t;
@@ -17,7 +17,7 @@
   static constexpr result_type min() { return 0; }
   static constexpr result_type max() { return UINT64_MAX; }
 
-  /// @brief Draws 64 uniform bits. Constant time.
+  /// @brief Returns 64 uniformly distributed bits. Constant time.
   result_type operator()() {
     this->state += 0x9E3779B97F4A7C15ULL;
     std::uint64_t z = this->state;
@@ -26,12 +26,12 @@
     return z ^ (z >> 31U);
   }
 
-  /// @brief Draws a whole number below a bound.
-  /// @param bound greater than 0
+  /// @brief Returns a random integer below a bound.
+  /// @param bound must be greater than 0
   /// @return a number in [0, bound)
   std::uint64_t Below(std::uint64_t bound) { return (*this)() % bound; }
 
-  /// @brief Draws a fraction.
+  /// @brief Returns a random floating-point number.
   /// @return a number in [0, 1)
   double Fraction() {
     return static_cast<double>((*this)() >> 11U) * 0x1.0p-53;
--- a/src/base/detail/time.h
+++ b/src/base/detail/time.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Time as the core sees it: values handed in, never read from a clock.
+/// @brief Time types of the core, which never reads a clock itself.
 #pragma once
 
 #include <chrono>
@@ -8,7 +8,8 @@
 
 namespace limpetlink {
 
-/// @brief Clock tag without now(): the core's time comes in with each step.
+/// @brief Clock tag without now(); each step passes the current time to the
+/// core.
 struct CoreClock {
   using duration = std::chrono::microseconds;
   using rep = duration::rep;
@@ -22,17 +23,16 @@
 /// @brief A point in the core's monotonic time.
 using Instant = CoreClock::time_point;
 
-/// @brief The latest representable time; stands for "never".
+/// @brief The latest representable time; denotes "never".
 inline constexpr Instant kNever = Instant::max();
 
 /// @brief Converts a duration to seconds.
-/// @param value the duration
 /// @return seconds, with a fraction
 inline double ToSeconds(Duration value) {
   return std::chrono::duration<double>(value).count();
 }
 
-/// @brief Writes a duration as whole milliseconds, for log lines.
+/// @brief Formats a duration as whole milliseconds, for log lines.
 inline std::string MillisecondsText(Duration value) {
   return std::to_string(
       std::chrono::duration_cast<std::chrono::milliseconds>(value).count());
--- a/src/base/error.cc
+++ b/src/base/error.cc
@@ -112,7 +112,7 @@
       return row;
     }
   }
-  std::abort();  // every code has a row: checked by a test
+  std::abort();  // unreachable: a test checks that every code has a row
 }
 
 std::optional<ErrorCode> ParseErrorCode(std::string_view name) {
--- a/src/base/tests/error_page_test.cc
+++ b/src/base/tests/error_page_test.cc
@@ -15,8 +15,7 @@
   return text.str();
 }
 
-TEST_CASE(
-    "page of error codes, every code, has its row with status and title") {
+TEST_CASE("error page, every code, has a row with its status and title") {
   const std::string page = ReadPage();
   REQUIRE_FALSE(page.empty());
   for (int i = 0; i <= static_cast<int>(ErrorCode::kPeerRefused); ++i) {
--- a/src/base/tests/error_test.cc
+++ b/src/base/tests/error_test.cc
@@ -7,7 +7,7 @@
 namespace limpetlink {
 namespace {
 
-TEST_CASE("error table, every code, has a row of its own with a unique name") {
+TEST_CASE("error table, every code, has its own row with a unique name") {
   std::set<std::string_view> names;
   for (int i = 0; i <= static_cast<int>(ErrorCode::kPeerRefused); ++i) {
     const auto code = static_cast<ErrorCode>(i);
@@ -28,7 +28,7 @@
   CHECK(body["retry_after"] == 1.5);
 }
 
-TEST_CASE("status, made from a code, gives the code back") {
+TEST_CASE("status, made from a code, returns code and detail") {
   const absl::Status status =
       MakeStatus(ErrorCode::kFleetConflict, "lost the race");
   CHECK(ErrorCodeOf(status) == ErrorCode::kFleetConflict);
--- a/src/base/tests/hash_test.cc
+++ b/src/base/tests/hash_test.cc
@@ -5,7 +5,8 @@
 namespace limpetlink {
 namespace {
 
-TEST_CASE("rendezvous owner, one host leaves, moves only that host's keys") {
+TEST_CASE(
+    "rendezvous owner, one host is removed, only its keys are reassigned") {
   const std::vector<HostId> all = {{"a"}, {"b"}, {"c"}, {"d"}};
   const std::vector<HostId> fewer = {{"a"}, {"b"}, {"d"}};
   for (int i = 0; i < 200; ++i) {
@@ -16,14 +17,14 @@
   }
 }
 
-TEST_CASE("rendezvous owners, first of several, is the single owner") {
+TEST_CASE("rendezvous owners, several wanted, the first is the single owner") {
   const std::vector<HostId> hosts = {{"a"}, {"b"}, {"c"}};
   CHECK(RendezvousOwners("k", hosts, 2).front() == RendezvousOwner("k", hosts));
   CHECK(RendezvousOwners("k", hosts, 9).size() == 3);
   CHECK(RendezvousOwner("k", {}) == HostId{});
 }
 
-TEST_CASE("digests, known input, match published values") {
+TEST_CASE("digests, known input, match the published values") {
   CHECK(Sha256Hex("abc") ==
         "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
   CHECK(HmacSha256Hex("key", "The quick brown fox jumps over the lazy dog") ==
--- a/src/ports/ports.h
+++ b/src/ports/ports.h
@@ -1,8 +1,8 @@
 /// @file
-/// @brief The messages at the core's edge: callers over HTTP, HTTP calls made
-/// by the host, and
-///        frames between entry hosts. Adapters carry them; the core does no I/O
-///        of its own.
+/// @brief The events and actions of the core: callers' HTTP requests, HTTP
+/// calls made by the host, and frames between entry hosts.
+///
+/// Adapters perform the I/O; the core performs none itself.
 #pragma once
 
 #include <cstdint>
@@ -16,19 +16,19 @@
 
 namespace limpetlink {
 
-/// @brief One HTTP header; names are compared without regard to case.
+/// @brief One HTTP header; names are case-insensitive.
 struct Header {
   std::string name;
   std::string value;
 };
 
-/// @brief HTTP headers in the order they stand on the wire.
+/// @brief HTTP headers in wire order.
 using Headers = std::vector<Header>;
 
-/// @brief Finds a header's first value.
-/// @param headers where to look
-/// @param name compared without regard to case
-/// @return the value, or nullptr
+/// @brief Returns the first value of a header.
+/// @param headers the headers to search
+/// @param name the header's name, compared case-insensitively
+/// @return the value, or nullptr when there is no such header
 inline const std::string* FindHeader(const Headers& headers,
                                      std::string_view name) {
   const auto same = [](char a, char b) {
@@ -50,60 +50,61 @@
   return nullptr;
 }
 
-// ---- Callers: what the HTTP server adapter tells the core ----
+// ---- Callers: events of the HTTP server adapter ----
 
-/// @brief A caller's whole request has arrived.
+/// @brief A complete request of a caller.
 struct CallerRequest {
   RequestId id;
   std::string method;
-  std::string path;   ///< without the query
-  std::string query;  ///< as sent, without '?'
+  std::string path;   ///< path without the query
+  std::string query;  ///< query as sent, without '?'
   Headers headers;
   std::string body;
-  bool body_too_large =
-      false;  ///< the body passed the adapter's bound and was dropped
-  std::string target{};  ///< path and query byte for byte as sent, where the
-                         ///< adapter keeps them
-  bool for_operators = false;  ///< came in at the operators' address
+  /// Whether the body exceeded the adapter's limit and was dropped.
+  bool body_too_large = false;
+  /// Path and query byte for byte as sent; empty if the adapter does not
+  /// provide them.
+  std::string target{};
+  bool for_operators = false;  ///< received at the operators' address
 };
 
-/// @brief The caller closed its connection; nothing sent to it arrives any
-/// more.
+/// @brief The caller closed its connection; further replies cannot reach it.
 struct CallerDisconnected {
   RequestId id;
 };
 
-/// @brief The caller took bytes of the answer from the adapter's buffer.
+/// @brief Bytes of the reply left the adapter's buffer towards the caller.
 struct CallerBufferDrained {
   RequestId id;
   std::size_t buffered = 0;  ///< bytes still in the adapter's buffer
 };
 
-// ---- Callers: what the core orders of the HTTP server adapter ----
+// ---- Callers: actions of the HTTP server adapter ----
 
-/// @brief Starts the answer.
+/// @brief Starts the reply to a caller.
 struct ReplyHead {
   RequestId id;
   int status = 200;
   Headers headers;
 };
 
-/// @brief Adds bytes to the answer's body.
+/// @brief Appends bytes to the reply's body.
 struct ReplyBody {
   RequestId id;
   std::string bytes;
 };
 
-/// @brief Ends the answer; the last thing said of a request.
+/// @brief Ends the reply; the last action for a request.
 struct ReplyEnd {
   RequestId id;
-  bool abort = false;  ///< cut the connection, so that the caller sees the body
-                       ///< is not whole
+  /// Whether to close the connection so that the caller detects an incomplete
+  /// body.
+  bool abort = false;
 };
 
 // ---- HTTP calls of the host: to engines, services and the platform ----
 
-/// @brief Orders an HTTP call.
+/// @brief Starts an HTTP call.
 struct HttpCall {
   CallId id;
   std::string method;
@@ -111,35 +112,35 @@
   Headers headers;
   std::string body;
   Duration connect_timeout{std::chrono::seconds(1)};
-  Duration total_timeout{0};  ///< 0: no limit of the adapter's own
+  Duration total_timeout{0};  ///< 0: unlimited
 };
 
-/// @brief Ends an HTTP call; no more events of it follow once the adapter has
-/// seen this.
+/// @brief Cancels an HTTP call; the adapter emits no further events for it once
+/// it has executed this.
 struct HttpCancel {
   CallId id;
 };
 
-/// @brief Stops or goes on reading the answer of a call (back-pressure).
+/// @brief Pauses or resumes reading the response of a call (back-pressure).
 struct HttpPause {
   CallId id;
   bool paused = true;
 };
 
-/// @brief Opens a connection ahead of the call that will need it. An adapter
-/// may pass this over; calls then open their own.
+/// @brief Opens a connection ahead of the call that will use it. An adapter may
+/// ignore this; calls then open their own connections.
 struct HttpPreconnect {
   std::string address;  ///< "ip:port"
 };
 
-/// @brief The status line and headers of an answer arrived.
+/// @brief The status line and headers of a response arrived.
 struct HttpHead {
   CallId id;
   int status = 0;
   Headers headers;
 };
 
-/// @brief Bytes of an answer's body arrived.
+/// @brief Bytes of a response's body arrived.
 struct HttpChunk {
   CallId id;
   std::string bytes;
@@ -147,11 +148,12 @@
 
 /// @brief How an HTTP call ended.
 enum class HttpEnd {
-  kComplete,      ///< the whole answer arrived
-  kNotConnected,  ///< no connection was made: no byte of the request left the
-                  ///< host
-  kCut,      ///< the connection broke after bytes of the request may have left
-  kTimeout,  ///< the call's own time limit passed after it had connected
+  kComplete,      ///< the complete response arrived
+  kNotConnected,  ///< no connection was established: no byte of the request
+                  ///< left the host
+  kCut,      ///< the connection failed after bytes of the request may have left
+             ///< the host
+  kTimeout,  ///< the call's total timeout expired after it had connected
 };
 
 template <>
@@ -171,7 +173,7 @@
 
 // ---- Peers: frames between entry hosts ----
 
-/// @brief Sends a frame to a peer; connects first when needed. Frames may be
+/// @brief Sends a frame to a peer, connecting first if necessary. Frames may be
 /// lost.
 struct PeerSend {
   HostId to;
@@ -179,7 +181,7 @@
   std::string bytes;    ///< CBOR
 };
 
-/// @brief A frame arrived from an authenticated peer.
+/// @brief A frame received from a peer, which PeerLinks has authenticated.
 struct PeerFrame {
   HostId from;
   std::string bytes;
@@ -187,9 +189,8 @@
 
 // ---- Time of day ----
 
-/// @brief The host's wall clock, told at the start and every minute; used for
-/// the expiry of kept
-///        outcomes only.
+/// @brief The host's wall clock, reported at the start and every minute; used
+/// only for the expiry of stored outcomes.
 struct WallClockRead {
   std::int64_t unix_milliseconds = 0;
 };
@@ -232,17 +233,17 @@
   std::vector<LogField> attributes;
 };
 
-/// @brief What may happen to the core.
+/// @brief An input of the core.
 using Event =
     std::variant<CallerRequest, CallerDisconnected, CallerBufferDrained,
                  HttpHead, HttpChunk, HttpDone, PeerFrame, WallClockRead>;
 
-/// @brief What the core may order.
+/// @brief An output of the core, executed by the adapters.
 using Action =
     std::variant<ReplyHead, ReplyBody, ReplyEnd, HttpCall, HttpCancel,
                  HttpPause, HttpPreconnect, PeerSend, LogLine, SpanRecord>;
 
-/// @brief Orders in the sequence in which they are to be carried out.
+/// @brief Actions in the order in which they are to be executed.
 using Actions = std::vector<Action>;
 
 }  // namespace limpetlink
