--- a/src/event_loop/call_client.cc
+++ b/src/event_loop/call_client.cc
@@ -14,11 +14,12 @@
 namespace {
 
 constexpr std::size_t kReadBytes = 8U << 10U;
-// A kept connection without a time of its own from its server.
-constexpr Duration kKeptFor = std::chrono::seconds(4);
-// Of a server's own time, for the way and its clock.
-constexpr Duration kKeepMargin = std::chrono::milliseconds(600);
-constexpr Duration kOpenTimeout = std::chrono::milliseconds(400);
+// Keep-alive time of a connection whose server names none.
+constexpr Duration kDefaultKeepAlive = std::chrono::seconds(4);
+// Subtracted from the server's keep-alive time, to allow for network latency
+// and the server's clock.
+constexpr Duration kKeepAliveMargin = std::chrono::milliseconds(600);
+constexpr Duration kPreconnectTimeout = std::chrono::milliseconds(400);
 constexpr std::uint64_t kMaxBody = 64U << 20U;
 constexpr std::uint32_t kMaxHead = 64U << 10U;
 constexpr std::string_view kScheme = "http://";
@@ -38,14 +39,15 @@
   if (error != std::errc()) {
     return std::nullopt;
   }
-  constexpr unsigned kLongest = 3600;
-  return std::chrono::seconds(std::min(seconds, kLongest));
+  constexpr unsigned kMaxSeconds = 3600;
+  return std::chrono::seconds(std::min(seconds, kMaxSeconds));
 }
 
 }  // namespace
 
-/// @brief A connection and at most one call on it. Shared by the handlers that
-/// wait on its socket; Close makes them all end.
+/// @brief A connection and at most one call on it.
+///
+/// The handlers that wait on its socket share ownership; Close cancels them.
 class CallConnection : public std::enable_shared_from_this<CallConnection> {
  public:
   CallConnection(CallClient* client, std::string address)
@@ -60,7 +62,7 @@
     this->call = call.id;
     this->is_head = call.method == "HEAD";
     this->output = RenderRequest(call, target, this->address);
-    this->head_told = false;
+    this->head_emitted = false;
     this->NewParser();
     if (this->connected) {
       this->Write();
@@ -69,8 +71,8 @@
     this->Connect(call.connect_timeout);
   }
 
-  /// @brief Connects without a call; the connection is then kept.
-  void Open() { this->Connect(kOpenTimeout); }
+  /// @brief Connects without a call; the connection then becomes idle.
+  void Open() { this->Connect(kPreconnectTimeout); }
 
   void Pause(bool paused) {
     this->paused = paused;
@@ -79,14 +81,14 @@
     }
   }
 
-  /// @brief Closes without a further event.
+  /// @brief Closes the connection without emitting an event.
   void Close() {
     if (this->closed) {
       return;
     }
     this->closed = true;
     this->call = CallId{};
-    ErrorCode ignored;  // closing releases the descriptor whatever it says
+    ErrorCode ignored;  // close releases the descriptor even on an error
     this->connect_timer.cancel(ignored);
     this->socket.close(ignored);
   }
@@ -144,8 +146,8 @@
             self->Write();
             return;
           }
-          self->usable_until = BootNow() + kKeptFor;
-          self->client->Keep(self);
+          self->usable_until = BootNow() + kDefaultKeepAlive;
+          self->client->AddIdle(self);
         });
   }
 
@@ -171,20 +173,20 @@
                                      const ErrorCode& error, std::size_t size) {
                                    self->reading = false;
                                    if (!self->closed) {
-                                     self->TakeInput(error, size);
+                                     self->HandleInput(error, size);
                                    }
                                  });
   }
 
-  void TakeInput(const ErrorCode& error, std::size_t size) {
+  void HandleInput(const ErrorCode& error, std::size_t size) {
     if (this->call.value == 0) {
-      // A kept connection that ends, or bytes that answer nothing.
-      this->client->Forget(this);
+      // An idle connection ended or received bytes that belong to no call.
+      this->client->RemoveIdle(this);
       this->Close();
       return;
     }
     if (error) {
-      this->TakeEnd(error);
+      this->HandleReadError(error);
       return;
     }
     this->input.append(this->buffer.data(), size);
@@ -192,12 +194,12 @@
     this->Read();
   }
 
-  void TakeEnd(const ErrorCode& error) {
+  void HandleReadError(const ErrorCode& error) {
     ErrorCode end_error;
     if (error == asio::error::eof && this->parser->is_header_done()) {
       this->parser->put_eof(end_error);
-      const bool whole = !end_error && this->parser->is_done();
-      this->End(whole ? HttpEnd::kComplete : HttpEnd::kCut);
+      const bool complete = !end_error && this->parser->is_done();
+      this->End(complete ? HttpEnd::kComplete : HttpEnd::kCut);
       return;
     }
     this->End(HttpEnd::kCut);
@@ -216,7 +218,7 @@
         this->End(HttpEnd::kCut);
         return;
       }
-      this->TellProgress();
+      this->EmitProgress();
       if (this->call.value != 0 && this->parser->is_done()) {
         this->Finish();
         return;
@@ -227,56 +229,57 @@
     }
   }
 
-  void TellProgress() {
+  void EmitProgress() {
     if (!this->parser->is_header_done()) {
       return;
     }
     auto& message = this->parser->get();
-    if (!this->head_told) {
+    if (!this->head_emitted) {
       constexpr int kFirstFinalStatus = 200;
       if (message.result_int() < kFirstFinalStatus) {
-        return;  // an interim answer; Finish begins anew
+        return;  // an interim response; Finish starts a new parser
       }
-      this->head_told = true;
-      this->client->Emitted(HttpHead{this->call,
-                                     static_cast<int>(message.result_int()),
-                                     CopyHeaders(message)});
+      this->head_emitted = true;
+      this->client->EmitEvent(HttpHead{this->call,
+                                       static_cast<int>(message.result_int()),
+                                       CopyHeaders(message)});
     }
     if (!message.body().empty()) {
       std::string bytes;
       bytes.swap(message.body());
-      this->client->Emitted(HttpChunk{this->call, std::move(bytes)});
+      this->client->EmitEvent(HttpChunk{this->call, std::move(bytes)});
     }
   }
 
   void Finish() {
-    if (!this->head_told) {
+    if (!this->head_emitted) {
       this->NewParser();
       this->Parse();
       return;
     }
     const bool reusable = this->parser->keep_alive() && !this->writing &&
                           this->input.empty() && !this->paused;
-    const Duration keep =
-        KeepAliveTime(this->parser->get()).value_or(kKeptFor + kKeepMargin);
-    const CallId ended = this->call;
+    const Duration keep_alive =
+        KeepAliveTime(this->parser->get())
+            .value_or(kDefaultKeepAlive + kKeepAliveMargin);
+    const CallId finished = this->call;
     this->call = CallId{};
-    this->client->by_call.erase(ended.value);
-    this->client->Emitted(HttpDone{ended, HttpEnd::kComplete});
+    this->client->by_call.erase(finished.value);
+    this->client->EmitEvent(HttpDone{finished, HttpEnd::kComplete});
     if (!reusable) {
       this->Close();
       return;
     }
-    this->usable_until = BootNow() + keep - kKeepMargin;
-    this->client->Keep(this->shared_from_this());
+    this->usable_until = BootNow() + keep_alive - kKeepAliveMargin;
+    this->client->AddIdle(this->shared_from_this());
   }
 
   void End(HttpEnd end) {
-    const CallId ended = this->call;
+    const CallId finished = this->call;
     this->Close();
-    if (ended.value != 0) {
-      this->client->by_call.erase(ended.value);
-      this->client->Emitted(HttpDone{ended, end});
+    if (finished.value != 0) {
+      this->client->by_call.erase(finished.value);
+      this->client->EmitEvent(HttpDone{finished, end});
     }
   }
 
@@ -291,7 +294,7 @@
   CallId call;
   Instant usable_until{};
   bool is_head = false;
-  bool head_told = false;
+  bool head_emitted = false;
   bool connected = false;
   bool writing = false;
   bool reading = false;
@@ -306,7 +309,7 @@
   for (auto& [call, connection] : this->by_call) {
     connection->Close();
   }
-  for (auto& [address, connections] : this->kept) {
+  for (auto& [address, connections] : this->idle) {
     for (const Connection& connection : connections) {
       connection->Close();
     }
@@ -319,7 +322,7 @@
   const std::size_t slash = std::min(rest.find('/'), rest.size());
   const std::string address(rest.substr(0, slash));
   std::string target(rest.substr(slash));
-  Connection connection = this->TakeKept(address);
+  Connection connection = this->TakeIdle(address);
   if (connection == nullptr) {
     connection = std::make_shared<CallConnection>(this, address);
   }
@@ -347,20 +350,20 @@
   std::make_shared<CallConnection>(this, open.address)->Open();
 }
 
-void CallClient::Keep(const Connection& connection) {
-  this->kept[connection->Address()].push_back(connection);
+void CallClient::AddIdle(const Connection& connection) {
+  this->idle[connection->Address()].push_back(connection);
 }
 
-void CallClient::Forget(CallConnection* connection) {
-  auto& connections = this->kept[connection->Address()];
+void CallClient::RemoveIdle(CallConnection* connection) {
+  auto& connections = this->idle[connection->Address()];
   connections.remove_if([connection](const Connection& each) {
     return each.get() == connection;
   });
 }
 
-CallClient::Connection CallClient::TakeKept(const std::string& address) {
-  const auto found = this->kept.find(address);
-  if (found == this->kept.end()) {
+CallClient::Connection CallClient::TakeIdle(const std::string& address) {
+  const auto found = this->idle.find(address);
+  if (found == this->idle.end()) {
     return nullptr;
   }
   const Instant now = BootNow();
@@ -376,15 +379,15 @@
 }
 
 void CallClient::Sweep(Instant now) {
-  for (auto it = this->kept.begin(); it != this->kept.end();) {
+  for (auto it = this->idle.begin(); it != this->idle.end();) {
     it->second.remove_if([now](const Connection& connection) {
-      const bool old = !connection->Usable(now);
-      if (old) {
+      const bool expired = !connection->Usable(now);
+      if (expired) {
         connection->Close();
       }
-      return old;
+      return expired;
     });
-    it = it->second.empty() ? this->kept.erase(it) : std::next(it);
+    it = it->second.empty() ? this->idle.erase(it) : std::next(it);
   }
 }
 
--- a/src/event_loop/caller_server.cc
+++ b/src/event_loop/caller_server.cc
@@ -10,17 +10,17 @@
 namespace {
 
 constexpr std::size_t kReadBytes = 8U << 10U;
-// Of a caller that sends further requests before its answer has come.
+// Maximum number of bytes buffered from a caller that pipelines requests.
 constexpr std::size_t kMaxPipelined = 256U << 10U;
 constexpr int kMalformed = 400;
 constexpr int kTimedOut = 408;
 constexpr int kBodyTooLarge = 413;
 constexpr int kHeadTooLarge = 431;
-constexpr int kListenQueue = 1024;
+constexpr int kListenBacklog = 1024;
 
 }  // namespace
 
-/// @brief One caller's connection.
+/// @brief The connection of one caller.
 class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
  public:
   CallerConnection(CallerServer* server, Tcp::socket socket)
@@ -28,26 +28,26 @@
 
   void Start() {
     TuneSocket(&this->socket);
-    this->quiet_since = BootNow();
+    this->last_activity = BootNow();
     this->NewParser();
     this->Read();
   }
 
-  void TakeHead(const ReplyHead& head) { this->reply_head = head; }
-  void TakeBody(const std::string& bytes) { this->reply_body += bytes; }
-  void TakeEnd(const ReplyEnd& end) {
+  void SetHead(const ReplyHead& head) { this->reply_head = head; }
+  void AppendBody(const std::string& bytes) { this->reply_body += bytes; }
+  void EndReply(const ReplyEnd& end) {
     this->reply_ended = true;
     this->reply_aborted = end.abort;
   }
 
-  /// @brief Writes what was taken.
+  /// @brief Writes the queued parts of the reply.
   void Flush() {
     if (this->closed) {
       return;
     }
     if (this->reply_aborted) {
-      // What was taken before still goes out; the missing last chunk shows the
-      // caller that the answer is not whole.
+      // The bytes queued so far are still written; the missing last chunk tells
+      // the caller that the reply is incomplete.
       this->close_after = true;
     }
     if (this->reply_head.has_value()) {
@@ -67,24 +67,24 @@
     this->Write();
   }
 
-  bool Waiting() const { return this->request.value != 0; }
+  bool HasRequest() const { return this->request.value != 0; }
 
   void Sweep(Instant now, const HttpLimits& limits) {
-    if (this->Waiting() || this->is_writing) {
+    if (this->HasRequest() || this->is_writing) {
       return;
     }
-    const bool begun = this->parser->got_some() || !this->input.empty();
-    if (begun && now - this->begun_at > limits.header_timeout &&
+    const bool has_input = this->parser->got_some() || !this->input.empty();
+    if (has_input && now - this->head_started_at > limits.header_timeout &&
         !this->parser->is_header_done()) {
-      this->Refuse(kTimedOut);
-    } else if (now - this->quiet_since > limits.idle_timeout) {
+      this->Reject(kTimedOut);
+    } else if (now - this->last_activity > limits.idle_timeout) {
       this->Close();
     }
   }
 
   void CloseIfIdle() {
-    const bool begun = this->parser->got_some() || !this->input.empty();
-    if (!this->Waiting() && !this->is_writing && !begun) {
+    const bool has_input = this->parser->got_some() || !this->input.empty();
+    if (!this->HasRequest() && !this->is_writing && !has_input) {
       this->Close();
     }
   }
@@ -94,10 +94,10 @@
       return;
     }
     this->closed = true;
-    ErrorCode ignored;  // closing releases the descriptor whatever it says
+    ErrorCode ignored;  // close releases the descriptor even on an error
     this->socket.close(ignored);
     const auto self = this->shared_from_this();
-    if (this->Waiting()) {
+    if (this->HasRequest()) {
       this->server->by_request.erase(this->request.value);
       this->server->hooks.emit(CallerDisconnected{this->request});
       this->request = RequestId{};
@@ -137,23 +137,23 @@
                                      self->Close();
                                      return;
                                    }
-                                   self->TakeInput(size);
+                                   self->HandleInput(size);
                                  });
   }
 
-  void TakeInput(std::size_t size) {
+  void HandleInput(std::size_t size) {
     const Instant now = BootNow();
     if (this->input.empty() && !this->parser->got_some()) {
-      this->begun_at = now;
+      this->head_started_at = now;
     }
-    this->quiet_since = now;
+    this->last_activity = now;
     this->input.append(this->buffer.data(), size);
     this->Parse();
     this->Read();
   }
 
   void Parse() {
-    while (!this->Waiting() && !this->close_after && !this->input.empty()) {
+    while (!this->HasRequest() && !this->close_after && !this->input.empty()) {
       ErrorCode error;
       const std::size_t used =
           this->parser->put(asio::buffer(this->input), error);
@@ -162,25 +162,25 @@
         error = {};
       }
       if (error) {
-        this->RefuseFor(error);
+        this->RejectFor(error);
         return;
       }
       if (this->parser->is_done()) {
         this->Emit();
         return;
       }
-      this->ContinueIfAsked();
+      this->SendContinueIfExpected();
       if (used == 0) {
         return;
       }
     }
   }
 
-  void ContinueIfAsked() {
-    if (!this->parser->is_header_done() || this->told_continue) {
+  void SendContinueIfExpected() {
+    if (!this->parser->is_header_done() || this->continue_handled) {
       return;
     }
-    this->told_continue = true;
+    this->continue_handled = true;
     const auto expect = this->parser->get()[http::field::expect];
     if (boost::beast::iequals(expect, "100-continue")) {
       this->output += "HTTP/1.1 100 Continue\r\n\r\n";
@@ -193,39 +193,39 @@
     this->keep_alive = message.keep_alive();
     this->is_http_10 = message.version() < 11;
     this->is_head = message.method() == http::verb::head;
-    this->told_continue = false;
+    this->continue_handled = false;
     this->NewParser();
     this->request = this->server->hooks.next_id();
     this->server->by_request[this->request.value] = this->shared_from_this();
-    CallerRequest told;
-    told.id = this->request;
-    told.method = message.method_string().to_string();
-    told.target = message.target().to_string();
-    const std::size_t mark =
-        std::min(told.target.find('?'), told.target.size());
-    told.path = told.target.substr(0, mark);
-    if (mark < told.target.size()) {
-      told.query = told.target.substr(mark + 1);
+    CallerRequest event;
+    event.id = this->request;
+    event.method = message.method_string().to_string();
+    event.target = message.target().to_string();
+    const std::size_t question_mark =
+        std::min(event.target.find('?'), event.target.size());
+    event.path = event.target.substr(0, question_mark);
+    if (question_mark < event.target.size()) {
+      event.query = event.target.substr(question_mark + 1);
     }
-    told.headers = CopyHeaders(message);
-    told.body = std::move(message.body());
-    told.for_operators = this->server->for_operators;
-    this->server->hooks.emit(std::move(told));
+    event.headers = CopyHeaders(message);
+    event.body = std::move(message.body());
+    event.for_operators = this->server->for_operators;
+    this->server->hooks.emit(std::move(event));
   }
 
-  void RefuseFor(const ErrorCode& error) {
+  void RejectFor(const ErrorCode& error) {
     int status = kMalformed;
     if (error == http::error::header_limit) {
       status = kHeadTooLarge;
     } else if (error == http::error::body_limit) {
       status = kBodyTooLarge;
     }
-    this->Refuse(status);
+    this->Reject(status);
   }
 
-  void Refuse(int status) {
+  void Reject(int status) {
     this->output +=
-        RenderAnswerHead(status, {{"Connection", "close"}}, false, 0);
+        RenderResponseHead(status, {{"Connection", "close"}}, false, 0);
     this->close_after = true;
     this->input.clear();
     this->Write();
@@ -235,17 +235,17 @@
     ReplyHead head = *std::move(this->reply_head);
     this->reply_head.reset();
     const std::string* connection = FindHeader(head.headers, "Connection");
-    const bool asked_to_close = connection != nullptr;
+    const bool requests_close = connection != nullptr;
     this->close_after =
-        this->close_after || asked_to_close || !this->keep_alive;
-    if (!this->keep_alive && !asked_to_close) {
+        this->close_after || requests_close || !this->keep_alive;
+    if (!this->keep_alive && !requests_close) {
       head.headers.push_back({"Connection", "close"});
     }
-    const bool whole = this->reply_ended && !this->reply_aborted;
-    this->chunked = !whole && !this->is_http_10;
+    const bool complete = this->reply_ended && !this->reply_aborted;
+    this->chunked = !complete && !this->is_http_10;
     const auto length = static_cast<std::int64_t>(this->reply_body.size());
-    this->output += RenderAnswerHead(head.status, head.headers, this->chunked,
-                                     whole ? length : -1);
+    this->output += RenderResponseHead(head.status, head.headers, this->chunked,
+                                       complete ? length : -1);
     if (this->is_head) {
       this->reply_body.clear();
     }
@@ -276,7 +276,7 @@
             self->Close();
             return;
           }
-          if (self->Waiting() && !self->reply_finished) {
+          if (self->HasRequest() && !self->reply_finished) {
             self->server->hooks.emit(
                 CallerBufferDrained{self->request, self->output.size()});
           }
@@ -285,7 +285,7 @@
   }
 
   void AfterWrite() {
-    if (this->Waiting() && !this->reply_finished) {
+    if (this->HasRequest() && !this->reply_finished) {
       return;
     }
     const bool ended = this->reply_finished;
@@ -296,14 +296,14 @@
       this->reply_finished = false;
       this->reply_aborted = false;
       this->chunked = false;
-      this->quiet_since = BootNow();
+      this->last_activity = BootNow();
     }
     if (this->close_after) {
       this->Close();
       return;
     }
     if (ended) {
-      this->begun_at = BootNow();
+      this->head_started_at = BootNow();
       this->Parse();
       this->Read();
     }
@@ -319,8 +319,8 @@
   RequestId request;
   std::optional<ReplyHead> reply_head;
   std::string reply_body;
-  Instant quiet_since{};
-  Instant begun_at{};
+  Instant last_activity{};
+  Instant head_started_at{};
   bool reply_ended = false;
   bool reply_finished = false;
   bool reply_aborted = false;
@@ -328,7 +328,7 @@
   bool keep_alive = true;
   bool is_http_10 = false;
   bool is_head = false;
-  bool told_continue = false;
+  bool continue_handled = false;
   bool close_after = false;
   bool is_writing = false;
   bool reading = false;
@@ -360,7 +360,7 @@
     this->acceptor.bind(endpoint, error);
   }
   if (!error) {
-    this->acceptor.listen(kListenQueue, error);
+    this->acceptor.listen(kListenBacklog, error);
   }
   if (error) {
     return absl::UnavailableError("cannot listen at " + address + ": " +
@@ -396,7 +396,7 @@
   if (found == this->by_request.end()) {
     return false;
   }
-  found->second->TakeHead(head);
+  found->second->SetHead(head);
   this->dirty.insert(found->second);
   return true;
 }
@@ -406,7 +406,7 @@
   if (found == this->by_request.end()) {
     return false;
   }
-  found->second->TakeBody(body->bytes);
+  found->second->AppendBody(body->bytes);
   this->dirty.insert(found->second);
   return true;
 }
@@ -416,7 +416,7 @@
   if (found == this->by_request.end()) {
     return false;
   }
-  found->second->TakeEnd(end);
+  found->second->EndReply(end);
   this->dirty.insert(found->second);
   return true;
 }
@@ -438,7 +438,7 @@
 }
 
 void CallerServer::StopAccepting() {
-  ErrorCode ignored;  // closing releases the descriptor whatever it says
+  ErrorCode ignored;  // close releases the descriptor even on an error
   this->acceptor.close(ignored);
   const std::set<Connection> all = this->connections;
   for (const Connection& connection : all) {
--- a/src/event_loop/datagrams.cc
+++ b/src/event_loop/datagrams.cc
@@ -5,7 +5,8 @@
 namespace limpetlink::event_loop {
 namespace {
 
-bool ToEndpoint(const std::string& address, asio::ip::udp::endpoint* endpoint) {
+bool ParseEndpoint(const std::string& address,
+                   asio::ip::udp::endpoint* endpoint) {
   const absl::StatusOr<SocketAddress> parsed = ParseSocketAddress(address);
   if (!parsed.ok()) {
     return false;
@@ -22,8 +23,8 @@
 
 absl::Status Datagrams::Bind(const std::string& address) {
   Udp::endpoint endpoint;
-  if (!ToEndpoint(address, &endpoint)) {
-    return absl::InvalidArgumentError("not an address: " + address);
+  if (!ParseEndpoint(address, &endpoint)) {
+    return absl::InvalidArgumentError("not an address ip:port: " + address);
   }
   ErrorCode error;
   this->socket.open(endpoint.protocol(), error);
@@ -44,11 +45,11 @@
 void Datagrams::Send(const PeerSend& send) {
   Udp::endpoint endpoint;
   ErrorCode error;
-  const bool known = ToEndpoint(send.address, &endpoint);
-  if (known && this->socket.is_open()) {
+  const bool valid = ParseEndpoint(send.address, &endpoint);
+  if (valid && this->socket.is_open()) {
     this->socket.send_to(asio::buffer(send.bytes), endpoint, 0, error);
   }
-  if (!known || !this->socket.is_open() || error) {
+  if (!valid || !this->socket.is_open() || error) {
     ++this->dropped;
   }
 }
--- a/src/event_loop/detail/call_client.h
+++ b/src/event_loop/detail/call_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The calls of a core, over kept connections.
+/// @brief HTTP client with a pool of idle connections.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,36 +17,38 @@
 
 class CallConnection;
 
-/// @brief Makes HTTP calls; one call at a time on a connection.
+/// @brief Makes HTTP calls, at most one at a time per connection.
 class CallClient {
  public:
   using Emit = std::function<void(Event)>;
 
-  /// @param emit takes the events; never called from within Execute
+  /// @param emit receives the events; never called from within Execute
   CallClient(asio::io_context* context, Emit emit);
   ~CallClient();
 
+  /// @brief Executes an action of the core.
   void Execute(HttpCall call);
   void Execute(const HttpCancel& cancel);
   void Execute(const HttpPause& pause);
   void Execute(const HttpPreconnect& open);
 
-  /// @brief Closes kept connections that are past their time.
+  /// @brief Closes idle connections whose keep-alive time has expired.
   void Sweep(Instant now);
 
  private:
   friend class CallConnection;
   using Connection = std::shared_ptr<CallConnection>;
 
-  void Emitted(Event event) { this->emit(std::move(event)); }
-  void Keep(const Connection& connection);
-  void Forget(CallConnection* connection);
-  Connection TakeKept(const std::string& address);
+  void EmitEvent(Event event) { this->emit(std::move(event)); }
+  void AddIdle(const Connection& connection);
+  void RemoveIdle(CallConnection* connection);
+  Connection TakeIdle(const std::string& address);
 
   asio::io_context* context;
   Emit emit;
   std::unordered_map<std::uint64_t, Connection> by_call;
-  std::map<std::string, std::list<Connection>> kept;  ///< newest last
+  /// Idle connections by address; the most recently used one is last.
+  std::map<std::string, std::list<Connection>> idle;
 };
 
 }  // namespace limpetlink::event_loop
--- a/src/event_loop/detail/caller_server.h
+++ b/src/event_loop/detail/caller_server.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Callers' connections: requests in, replies out.
+/// @brief HTTP server for callers' requests.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,9 +18,10 @@
 
 class CallerConnection;
 
-/// @brief What a server asks of its loop.
+/// @brief Functions that a server calls in its event loop.
 struct CallerServerHooks {
-  std::function<void(Event)> emit;  ///< never called from within Execute
+  std::function<void(Event)> emit;  ///< receives events; never called from
+                                    ///< within Execute
   std::function<HttpLimits()> http_limits;
   std::function<RequestId()> next_id;
 };
@@ -35,22 +36,23 @@
   absl::Status Listen(const std::string& address);
   std::uint16_t Port() const;
 
-  /// @return whether the request is one of this server's
+  /// @brief Executes an action of the core; it takes effect at the next Flush.
+  /// @return whether the request belongs to this server
   bool Execute(const ReplyHead& head);
   bool Execute(ReplyBody* body);
   bool Execute(const ReplyEnd& end);
 
-  /// @brief Writes what was taken since the last flush.
+  /// @brief Writes the replies queued since the last flush.
   void Flush();
 
-  /// @brief Closes connections that are idle for too long or have not sent a
-  /// whole head in time.
+  /// @brief Closes connections that exceed the idle timeout or the timeout for
+  /// a complete request head.
   void Sweep(Instant now);
 
-  /// @brief Closes the listener and all connections without a request.
+  /// @brief Closes the listener and all connections without an open request.
   void StopAccepting();
 
-  /// @return whether no reply is still being written
+  /// @return whether no request is open and no reply is being written
   bool Idle() const { return this->by_request.empty() && this->writing == 0; }
 
  private:
--- a/src/event_loop/detail/datagrams.h
+++ b/src/event_loop/detail/datagrams.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Datagrams between entry hosts.
+/// @brief UDP datagrams between entry hosts.
 #pragma once
 
 #include <array>
@@ -14,8 +14,10 @@
 
 namespace limpetlink::event_loop {
 
-/// @brief One socket; a datagram that cannot be sent at once is dropped and
-/// counted, as one that the network loses.
+/// @brief Sends and receives datagrams on one UDP socket.
+///
+/// A datagram that cannot be sent at once is dropped and counted, as if the
+/// network had lost it.
 class Datagrams {
  public:
   Datagrams(asio::io_context* context, std::function<void(Event)> emit);
--- a/src/event_loop/detail/event_loop.h
+++ b/src/event_loop/detail/event_loop.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Runs a core, its callers' connections and its calls on one thread.
+/// @brief Runs a core together with its network I/O on one thread.
 #pragma once
 
 #include <functional>
@@ -13,38 +13,42 @@
 
 namespace limpetlink {
 
-/// @brief How an EventLoop is set up.
+/// @brief Settings of an EventLoop.
 struct EventLoopSettings {
-  std::string callers;     ///< "ip:port"; port 0 takes a free one
-  std::string neighbours;  ///< "ip:port" for datagrams; empty: none
-  std::string operators;   ///< "ip:port"; its requests bear `for_operators`
+  std::string callers;     ///< "ip:port"; port 0 selects a free port
+  std::string neighbours;  ///< "ip:port" for datagrams; empty disables them
+  std::string operators;   ///< "ip:port"; its requests have `for_operators` set
 };
 
-/// @brief What the loop asks of the process around it.
+/// @brief Functions that the loop calls in the surrounding process.
 struct EventLoopHooks {
-  std::function<HttpLimits()> http_limits;  ///< for callers' requests
-  std::function<bool()> accepts_callers;    ///< false closes the listener and
-                                            ///< idle connections
-  std::function<void()> reload;             ///< SIGHUP, and every kReloadCheck
+  std::function<HttpLimits()> http_limits;  ///< limits of callers' requests
+  std::function<bool()> accepts_callers;    ///< if false, the loop closes the
+                                            ///< listener and idle connections
+  std::function<void()> reload;             ///< called on SIGHUP and every
+                                            ///< kReloadInterval
   std::function<void(const LogLine&, Instant)> log;
   std::function<void(const SpanRecord&)> span;
 };
 
-/// @brief The core's time on a clock that counts suspension of the host.
+/// @brief Returns the core's time from a clock that includes the time during
+/// which the host is suspended.
 Instant BootNow();
 
-/// @brief HTTP server, HTTP client, timers and signals of one core, over
-/// Boost.Asio and Boost.Beast, all on the calling thread.
+/// @brief Runs a core with its HTTP server, HTTP client, timers and signals on
+/// the calling thread, using Boost.Asio and Boost.Beast.
 ///
-/// It keeps these promises beside those of HttpServer and HttpClient:
-/// - Path, query and body go on byte for byte; framing is made anew.
-/// - A request leaves the host at most once. Every method may use a kept
-///   connection; such a connection is read all the while, so that its end or
-///   stray bytes take it out of use before a request is written to it.
+/// It gives these guarantees in addition to those of HttpServer and HttpClient:
+/// - Path, query and body are passed on byte for byte; the message framing is
+///   regenerated.
+/// - A request leaves the host at most once. Any method may use an idle
+///   connection. Idle connections are read continuously, so that one that ends
+///   or receives unexpected bytes is removed before a request is written to it.
 /// - kNotConnected is reported only when no byte was written.
-/// - A caller that closes is noticed while its request is in progress.
-/// - An answer that ends with its connection is whole only when the
-///   connection ended in order.
+/// - A caller that closes its connection is detected while its request is in
+///   progress.
+/// - A response delimited by the end of its connection is complete only if the
+///   connection was closed in order.
 /// @note Example:
 /// @code
 /// EventLoop loop(settings, HooksOf(&host), hooks);
@@ -52,28 +56,29 @@
 /// @endcode
 class EventLoop {
  public:
-  /// @brief How often settings are looked at without a signal.
-  static constexpr std::chrono::seconds kReloadCheck{5};
+  /// @brief Interval of the reload hook without a signal.
+  static constexpr std::chrono::seconds kReloadInterval{5};
 
   EventLoop(EventLoopSettings settings, CoreHooks core, EventLoopHooks hooks);
   ~EventLoop();
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  /// @brief Listens at both addresses.
+  /// @brief Listens at the configured addresses.
+  /// @return an error when an address is invalid or cannot be bound
   absl::Status Start();
 
-  /// @brief Serves until SIGTERM or SIGINT and the end of the core's shutdown.
-  /// A second signal ends it at once.
-  /// @return whether it ended in order
+  /// @brief Runs until SIGTERM or SIGINT and the end of the core's graceful
+  /// shutdown. A second signal stops the loop at once.
+  /// @return whether the graceful shutdown finished
   bool Run();
 
-  /// @brief Begins the graceful shutdown, as SIGTERM does. Any thread.
+  /// @brief Starts the graceful shutdown, as SIGTERM does. Thread-safe.
   void RequestDrain();
 
-  /// @return the port that callers connect to
+  /// @return the port on which the loop listens for callers
   std::uint16_t CallersPort() const;
-  /// @return the port that operators connect to
+  /// @return the port on which the loop listens for operators
   std::uint16_t OperatorsPort() const;
 
  private:
--- a/src/event_loop/detail/framing.h
+++ b/src/event_loop/detail/framing.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Requests and answers as bytes, and what all sockets are set to.
+/// @brief Serialisation of HTTP messages, and the options of all sockets.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -16,27 +16,29 @@
 using Tcp = asio::ip::tcp;
 using ErrorCode = boost::system::error_code;
 
-/// @brief How long a peer may leave sent bytes or probes without a sign before
-/// its connection counts as broken.
-inline constexpr int kSilentPeerMs = 3000;
+/// @brief Time in milliseconds for which a peer may leave sent bytes or probes
+/// unacknowledged before its connection counts as broken.
+inline constexpr int kUnresponsivePeerMs = 3000;
 
-/// @brief Copies fields in their order; names keep their case.
+/// @brief Copies header fields, preserving their order and the case of names.
 Headers CopyHeaders(const http::fields& fields);
 
-/// @brief Writes the head of a message without its end-to-end framing.
-/// @param chunked adds Transfer-Encoding
-/// @param length adds Content-Length when not negative
-std::string RenderAnswerHead(int status, const Headers& headers, bool chunked,
-                             std::int64_t length);
+/// @brief Serialises the status line and headers of a response.
+/// @param chunked whether to add Transfer-Encoding
+/// @param length added as Content-Length unless negative or chunked
+std::string RenderResponseHead(int status, const Headers& headers, bool chunked,
+                               std::int64_t length);
 
-/// @brief Writes a whole request.
+/// @brief Serialises a complete request.
 std::string RenderRequest(const HttpCall& call, std::string_view target,
                           std::string_view host);
 
-/// @brief Writes one chunk; the last one when empty.
+/// @brief Serialises one chunk of a chunked body; empty bytes give the last
+/// chunk.
 std::string RenderChunk(std::string_view bytes);
 
-/// @brief Sets no delay, the bound on silent peers and probes of idle ones.
+/// @brief Disables Nagle's algorithm, sets the timeout for unresponsive peers
+/// and enables keep-alive probes.
 void TuneSocket(Tcp::socket* socket);
 
 }  // namespace limpetlink::event_loop
--- a/src/event_loop/event_loop.cc
+++ b/src/event_loop/event_loop.cc
@@ -19,10 +19,11 @@
 
 namespace asio = boost::asio;
 
-// Idle connections and slow heads are looked for this often.
-constexpr Duration kSweepEvery = std::chrono::milliseconds(500);
-constexpr Duration kLongestSleep = std::chrono::seconds(60);
-// Of an ended core, whether its last replies have left.
+// Interval of the checks for idle connections and slow request heads.
+constexpr Duration kSweepInterval = std::chrono::milliseconds(500);
+constexpr Duration kMaxSleep = std::chrono::seconds(60);
+// Interval of the checks whether the last replies of a drained core have been
+// written.
 constexpr Duration kIdleCheck = std::chrono::milliseconds(5);
 
 }  // namespace
@@ -69,9 +70,9 @@
     this->WaitForSweep();
     this->WaitForReload();
     this->Execute(this->core.start(BootNow()));
-    this->Settle();
+    this->RunCore();
     this->context.run();
-    return !this->ended_at_once;
+    return !this->stopped_early;
   }
 
   void RequestDrain() {
@@ -88,18 +89,19 @@
             [this] { return RequestId{++this->last_request}; }};
   }
 
-  /// @brief Queues an event; the first of a batch schedules the core.
+  /// @brief Queues an event; the first event of a batch schedules the core.
   void Post(Event event) {
     this->queue.push_back(std::move(event));
     if (!this->scheduled) {
       this->scheduled = true;
-      asio::post(this->context, [this] { this->Settle(); });
+      asio::post(this->context, [this] { this->RunCore(); });
     }
   }
 
-  /// @brief Feeds the core until nothing waits, then flushes and sleeps.
-  void Settle() {
-    this->scheduled = true;  // events made meanwhile are taken below
+  /// @brief Runs the core until no event is queued, flushing its replies, then
+  /// sets the timer for its next wakeup.
+  void RunCore() {
+    this->scheduled = true;  // events queued meanwhile are handled below
     do {
       while (!this->queue.empty()) {
         const Event event = std::move(this->queue.front());
@@ -113,33 +115,33 @@
       this->operators.Flush();
     } while (!this->queue.empty());
     this->scheduled = false;
-    this->EndWhenDrained();
-    this->Sleep();
+    this->StopIfDrained();
+    this->ScheduleWakeup();
   }
 
-  void Sleep() {
+  void ScheduleWakeup() {
     const Instant now = BootNow();
     Instant due = this->core.next_wakeup();
     if (this->draining) {
-      due = std::min(due,
-                     now + (this->core.drained() ? kIdleCheck : kSweepEvery));
+      due = std::min(
+          due, now + (this->core.drained() ? kIdleCheck : kSweepInterval));
     }
-    due = std::min(due, now + kLongestSleep);
-    if (due == this->sleeping_until) {
+    due = std::min(due, now + kMaxSleep);
+    if (due == this->wakeup_at) {
       return;
     }
-    this->sleeping_until = due;
+    this->wakeup_at = due;
     this->wakeup.expires_after(
         std::max(std::chrono::microseconds(0), due - now));
     this->wakeup.async_wait([this](const boost::system::error_code& error) {
       if (!error) {
-        this->sleeping_until = Instant{};
-        this->Settle();
+        this->wakeup_at = Instant{};
+        this->RunCore();
       }
     });
   }
 
-  void EndWhenDrained() {
+  void StopIfDrained() {
     if (!this->draining) {
       return;
     }
@@ -156,15 +158,15 @@
     if (!this->draining) {
       this->draining = true;
       this->Execute(this->core.drain(BootNow()));
-      this->Settle();
+      this->RunCore();
     }
   }
 
   void Execute(Actions actions) {
     for (Action& action : actions) {
       std::visit(
-          [this](auto&& order) {
-            this->ExecuteOne(std::forward<decltype(order)>(order));
+          [this](auto&& single) {
+            this->ExecuteOne(std::forward<decltype(single)>(single));
           },
           std::move(action));
     }
@@ -196,7 +198,7 @@
           if (number == SIGHUP) {
             this->hooks.reload();
           } else if (this->draining) {
-            this->ended_at_once = true;
+            this->stopped_early = true;
             this->context.stop();
           } else {
             this->Drain();
@@ -206,7 +208,7 @@
   }
 
   void WaitForSweep() {
-    this->sweep.expires_after(kSweepEvery);
+    this->sweep.expires_after(kSweepInterval);
     this->sweep.async_wait([this](const boost::system::error_code& error) {
       if (error) {
         return;
@@ -220,7 +222,7 @@
   }
 
   void WaitForReload() {
-    this->reload.expires_after(kReloadCheck);
+    this->reload.expires_after(kReloadInterval);
     this->reload.async_wait([this](const boost::system::error_code& error) {
       if (!error) {
         this->hooks.reload();
@@ -243,11 +245,11 @@
   asio::steady_timer sweep;
   asio::steady_timer reload;
   asio::signal_set signals;
-  Instant sleeping_until{};
+  Instant wakeup_at{};
   bool scheduled = false;
   bool draining = false;
   bool accepting = true;
-  bool ended_at_once = false;
+  bool stopped_early = false;
 };
 
 EventLoop::EventLoop(EventLoopSettings settings, CoreHooks core,
--- a/src/event_loop/event_loop.h
+++ b/src/event_loop/event_loop.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One thread that serves callers, makes calls and drives a core.
+/// @brief Single-threaded event loop with HTTP server, HTTP client and core.
 #pragma once
 
 #include "event_loop/detail/event_loop.h"
--- a/src/event_loop/framing.cc
+++ b/src/event_loop/framing.cc
@@ -9,11 +9,11 @@
 namespace limpetlink::event_loop {
 namespace {
 
-constexpr int kProbeAfterSeconds = 1;
-constexpr int kProbeEverySeconds = 1;
-constexpr int kProbes = 3;
+constexpr int kProbeIdleSeconds = 1;
+constexpr int kProbeIntervalSeconds = 1;
+constexpr int kProbeCount = 3;
 
-bool MayStand(const Header& header) {
+bool IsSafeHeader(const Header& header) {
   return header.name.find_first_of("\r\n:") == std::string::npos &&
          header.value.find_first_of("\r\n") == std::string::npos &&
          !header.name.empty();
@@ -23,7 +23,8 @@
 std::string Serialize(http::header<is_request> head) {
   http::message<is_request, http::empty_body> message(std::move(head));
   http::serializer<is_request, http::empty_body> serializer(message);
-  serializer.split(true);  // the head alone: no last chunk of an empty body
+  serializer.split(true);  // only the head, without the last chunk of an
+                           // empty body
   std::string text;
   ErrorCode error;
   while (!serializer.is_header_done() && !error) {
@@ -46,13 +47,13 @@
   return headers;
 }
 
-std::string RenderAnswerHead(int status, const Headers& headers, bool chunked,
-                             std::int64_t length) {
+std::string RenderResponseHead(int status, const Headers& headers, bool chunked,
+                               std::int64_t length) {
   http::header<false> head;
   head.version(11);
   head.result(static_cast<unsigned>(status));
   for (const Header& header : headers) {
-    if (MayStand(header)) {
+    if (IsSafeHeader(header)) {
       head.insert(header.name, header.value);
     }
   }
@@ -74,7 +75,7 @@
     head.set(http::field::host, {host.data(), host.size()});
   }
   for (const Header& header : call.headers) {
-    if (MayStand(header)) {
+    if (IsSafeHeader(header)) {
       head.insert(header.name, header.value);
     }
   }
@@ -96,17 +97,17 @@
 }
 
 void TuneSocket(Tcp::socket* socket) {
-  ErrorCode ignored;  // a socket that is closed already has its own error
+  ErrorCode ignored;  // a closed socket reports its own error
   socket->set_option(Tcp::no_delay(true), ignored);
   const int handle = socket->native_handle();
   const auto set = [handle](int level, int name, int value) {
     ::setsockopt(handle, level, name, &value, sizeof(value));
   };
-  set(IPPROTO_TCP, TCP_USER_TIMEOUT, kSilentPeerMs);
+  set(IPPROTO_TCP, TCP_USER_TIMEOUT, kUnresponsivePeerMs);
   set(SOL_SOCKET, SO_KEEPALIVE, 1);
-  set(IPPROTO_TCP, TCP_KEEPIDLE, kProbeAfterSeconds);
-  set(IPPROTO_TCP, TCP_KEEPINTVL, kProbeEverySeconds);
-  set(IPPROTO_TCP, TCP_KEEPCNT, kProbes);
+  set(IPPROTO_TCP, TCP_KEEPIDLE, kProbeIdleSeconds);
+  set(IPPROTO_TCP, TCP_KEEPINTVL, kProbeIntervalSeconds);
+  set(IPPROTO_TCP, TCP_KEEPCNT, kProbeCount);
 }
 
 }  // namespace limpetlink::event_loop
--- a/src/event_loop/tests/event_loop_test.cc
+++ b/src/event_loop/tests/event_loop_test.cc
@@ -14,7 +14,7 @@
 namespace asio = boost::asio;
 using Tcp = asio::ip::tcp;
 
-/// @brief A core whose answers the test scripts.
+/// @brief A core whose reactions to events are set by the test.
 class ScriptedCore {
  public:
   Actions Start(Instant /*now*/) { return {}; }
@@ -40,7 +40,7 @@
           ReplyBody{request.id, std::move(body)}, ReplyEnd{request.id, false}};
 }
 
-/// @brief A worker of one connection at a time, scripted byte by byte.
+/// @brief A worker that serves one connection at a time with raw bytes.
 class RawServer {
  public:
   RawServer()
@@ -76,7 +76,7 @@
 
 void WriteText(Tcp::socket* socket, const std::string& text) {
   boost::system::error_code
-      ignored;  // the peer may have left: tests look at it
+      ignored;  // the peer may have closed; the tests check that
   asio::write(*socket, asio::buffer(text), ignored);
 }
 
@@ -115,7 +115,7 @@
     return socket;
   }
 
-  /// @brief Sends bytes and reads until the peer closes.
+  /// @brief Sends bytes on a new connection and reads until the peer closes it.
   std::string Exchange(const std::string& bytes) {
     Tcp::socket socket = this->Connect();
     WriteText(&socket, bytes);
@@ -133,7 +133,7 @@
 };
 
 TEST_CASE_METHOD(EventLoopFixture,
-                 "event loop, request, reaches the core as it was sent",
+                 "event loop, request, reaches the core unchanged",
                  "[event_loop]") {
   this->core.step = [](const Event& event) -> Actions {
     const auto* request = std::get_if<CallerRequest>(&event);
@@ -151,8 +151,7 @@
 }
 
 TEST_CASE_METHOD(EventLoopFixture,
-                 "event loop, bytes that could be read as two requests, are "
-                 "refused",
+                 "event loop, request with ambiguous length, is rejected",
                  "[event_loop]") {
   int requests = 0;
   this->core.step = [&requests](const Event& event) -> Actions {
@@ -163,20 +162,20 @@
     return {};
   };
   this->Run();
-  const std::string both = this->Exchange(
+  const std::string conflicting_framing = this->Exchange(
       "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
       "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /x HTTP/1.1\r\n\r\n");
-  CHECK(both.find("400") != std::string::npos);
-  const std::string lengths = this->Exchange(
+  CHECK(conflicting_framing.find("400") != std::string::npos);
+  const std::string two_lengths = this->Exchange(
       "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
       "Content-Length: 4\r\n\r\nabcd");
-  CHECK(lengths.find("400") != std::string::npos);
+  CHECK(two_lengths.find("400") != std::string::npos);
   this->Stop();
   CHECK(requests == 0);
 }
 
 TEST_CASE_METHOD(EventLoopFixture,
-                 "event loop, head or body over its bound, is refused",
+                 "event loop, head or body over its limit, is rejected",
                  "[event_loop]") {
   this->http_limits.header_bytes = 1024;
   this->http_limits.body_bytes = 100;
@@ -191,12 +190,13 @@
 }
 
 TEST_CASE_METHOD(EventLoopFixture,
-                 "event loop, caller leaves while its request waits, the core "
-                 "is told",
+                 "event loop, caller disconnects while its request waits, the "
+                 "core is notified",
                  "[event_loop]") {
-  std::atomic<bool> gone{false};
-  this->core.step = [&gone](const Event& event) -> Actions {
-    gone = gone || std::holds_alternative<CallerDisconnected>(event);
+  std::atomic<bool> disconnected{false};
+  this->core.step = [&disconnected](const Event& event) -> Actions {
+    disconnected =
+        disconnected || std::holds_alternative<CallerDisconnected>(event);
     return {};
   };
   this->Run();
@@ -205,14 +205,14 @@
     WriteText(&socket, "GET / HTTP/1.1\r\nHost: h\r\n\r\n");
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
   }
-  for (int i = 0; !gone && i < 200; ++i) {
+  for (int i = 0; !disconnected && i < 200; ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
-  CHECK(gone);
+  CHECK(disconnected);
 }
 
 TEST_CASE_METHOD(EventLoopFixture,
-                 "event loop, reply aborted, does not look whole",
+                 "event loop, aborted reply, is seen as incomplete",
                  "[event_loop]") {
   this->core.step = [](const Event& event) -> Actions {
     const auto* request = std::get_if<CallerRequest>(&event);
@@ -229,7 +229,8 @@
   CHECK(text.find("0\r\n\r\n") == std::string::npos);
 }
 
-/// @brief A core that makes calls for callers' requests and notes their ends.
+/// @brief A core that makes a call for each caller's request and replies with
+/// how the call ended.
 class CallFixture : public EventLoopFixture {
  public:
   CallFixture() {
@@ -252,19 +253,20 @@
       if (const auto* done = std::get_if<HttpDone>(&event)) {
         CallerRequest request;
         request.id = this->caller;
-        std::string told = std::string(ToText(done->end)) + " " +
-                           std::to_string(this->status) + " " + this->received;
+        std::string summary = std::string(ToText(done->end)) + " " +
+                              std::to_string(this->status) + " " +
+                              this->received;
         this->received.clear();
         this->status = 0;
-        return ReplyTo(request, told);
+        return ReplyTo(request, summary);
       }
       return {};
     };
     this->Run();
   }
 
-  /// @brief Sends one request on a connection of its own.
-  std::string Ask() {
+  /// @brief Sends one request on a new connection.
+  std::string SendRequest() {
     return this->Exchange(
         "GET /x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
   }
@@ -277,20 +279,20 @@
 };
 
 TEST_CASE_METHOD(CallFixture,
-                 "call, answer without a length, is whole when the connection "
-                 "ends in order",
+                 "call, response without a length, is complete when the "
+                 "connection closes in order",
                  "[event_loop]") {
   std::thread server([this] {
     Tcp::socket socket = this->worker.Accept();
     ReadRequest(&socket);
     WriteText(&socket, "HTTP/1.1 200 OK\r\n\r\nabc");
   });
-  CHECK(this->Ask().find("complete 200 abc") != std::string::npos);
+  CHECK(this->SendRequest().find("complete 200 abc") != std::string::npos);
   server.join();
 }
 
 TEST_CASE_METHOD(CallFixture,
-                 "call, answer without a length is reset, is not whole",
+                 "call, response without a length is reset, is incomplete",
                  "[event_loop]") {
   std::thread server([this] {
     Tcp::socket socket = this->worker.Accept();
@@ -298,23 +300,24 @@
     WriteText(&socket, "HTTP/1.1 200 OK\r\n\r\nabc");
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
     socket.set_option(asio::socket_base::linger(true, 0));
-    socket.close();  // resets; the destructor would end in order
+    socket.close();  // resets the connection; the destructor would close it in
+                     // order
   });
-  const std::string text = this->Ask();
+  const std::string text = this->SendRequest();
   INFO(text);
   CHECK(text.find("cut 200 abc") != std::string::npos);
   server.join();
 }
 
 TEST_CASE_METHOD(CallFixture,
-                 "call, connection refused, says that no byte left",
+                 "call, connection refused, reports that no byte was sent",
                  "[event_loop]") {
   this->worker.Close();
-  CHECK(this->Ask().find("not_connected 0") != std::string::npos);
+  CHECK(this->SendRequest().find("not_connected 0") != std::string::npos);
 }
 
 TEST_CASE_METHOD(CallFixture,
-                 "call, kept connection gets stray bytes, is not used again",
+                 "call, idle connection gets unexpected bytes, is not reused",
                  "[event_loop]") {
   std::thread server([this] {
     Tcp::socket first = this->worker.Accept();
@@ -326,14 +329,14 @@
     ReadRequest(&second);
     WriteText(&second, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo");
   });
-  CHECK(this->Ask().find("complete 200 one") != std::string::npos);
+  CHECK(this->SendRequest().find("complete 200 one") != std::string::npos);
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
-  CHECK(this->Ask().find("complete 200 two") != std::string::npos);
+  CHECK(this->SendRequest().find("complete 200 two") != std::string::npos);
   server.join();
 }
 
 TEST_CASE_METHOD(CallFixture,
-                 "call, kept connection closes as the request is sent, is not "
+                 "call, idle connection closes as the request is sent, is not "
                  "sent again",
                  "[event_loop]") {
   std::string second;  // read after the thread has ended
@@ -343,15 +346,14 @@
     WriteText(&socket, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none");
     second = ReadRequest(&socket);
   });
-  CHECK(this->Ask().find("complete 200 one") != std::string::npos);
-  CHECK(this->Ask().find("cut 0") != std::string::npos);
+  CHECK(this->SendRequest().find("complete 200 one") != std::string::npos);
+  CHECK(this->SendRequest().find("cut 0") != std::string::npos);
   server.join();
   CHECK(second.find("POST /x") == 0);
 }
 
 TEST_CASE_METHOD(CallFixture,
-                 "call, answer has more bytes than its length, leaves them to "
-                 "no one",
+                 "call, response has more bytes than its length, drops them",
                  "[event_loop]") {
   std::thread server([this] {
     Tcp::socket socket = this->worker.Accept();
@@ -363,19 +365,19 @@
     ReadRequest(&second);
     WriteText(&second, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo");
   });
-  CHECK(this->Ask().find("complete 200 one") != std::string::npos);
-  CHECK(this->Ask().find("complete 200 two") != std::string::npos);
+  CHECK(this->SendRequest().find("complete 200 one") != std::string::npos);
+  CHECK(this->SendRequest().find("complete 200 two") != std::string::npos);
   server.join();
 }
 
-TEST_CASE_METHOD(CallFixture, "call, bytes that are no answer, are not whole",
+TEST_CASE_METHOD(CallFixture, "call, malformed response, ends as cut",
                  "[event_loop]") {
   std::thread server([this] {
     Tcp::socket socket = this->worker.Accept();
     ReadRequest(&socket);
     WriteText(&socket, "\x01\x02 nonsense\r\n\r\n");
   });
-  CHECK(this->Ask().find("cut 0") != std::string::npos);
+  CHECK(this->SendRequest().find("cut 0") != std::string::npos);
   server.join();
 }
 
