--- a/src/adapters/adapters.h
+++ b/src/adapters/adapters.h
@@ -1,7 +1,6 @@
 /// @file
-/// @brief The adapters between the deterministic core and the world: HTTP in,
-/// HTTP out, links
-///        between hosts, and the thread that owns the core.
+/// @brief I/O of the deterministic core: HTTP server, HTTP client, links
+/// between hosts, and the loop that runs the core.
 #pragma once
 
 #include "adapters/detail/address.h"
--- a/src/adapters/core_loop.cc
+++ b/src/adapters/core_loop.cc
@@ -6,12 +6,13 @@
 namespace limpetlink {
 namespace {
 
-// How often an ended core is asked whether its last replies have left.
+// Interval of the checks whether the last replies of a drained core have been
+// sent.
 constexpr std::chrono::milliseconds kIdleCheck{5};
-constexpr std::chrono::seconds kLongestWait{3600};
+constexpr std::chrono::seconds kMaxWait{3600};
 
 std::chrono::steady_clock::time_point ToSteady(Instant when) {
-  const Instant limit = SteadyNow() + kLongestWait;
+  const Instant limit = SteadyNow() + kMaxWait;
   return std::chrono::steady_clock::time_point(
       std::min(when, limit).time_since_epoch());
 }
@@ -27,13 +28,13 @@
 
 void CoreLoop::Post(Event event) {
   std::unique_lock<std::mutex> lock(this->mutex);
-  this->room.wait(lock, [this] {
+  this->space_available.wait(lock, [this] {
     return this->queue.size() < kMaxQueuedEvents || this->stop_requested;
   });
   const bool was_empty = this->queue.empty();
   this->queue.push_back(std::move(event));
   if (was_empty) {
-    this->work.notify_one();
+    this->work_available.notify_one();
   }
 }
 
@@ -44,17 +45,17 @@
 void CoreLoop::RequestDrain() {
   const std::lock_guard<std::mutex> lock(this->mutex);
   this->drain_requested = true;
-  this->work.notify_one();
+  this->work_available.notify_one();
 }
 
 void CoreLoop::RequestStop() {
   const std::lock_guard<std::mutex> lock(this->mutex);
   this->stop_requested = true;
-  this->work.notify_one();
-  this->room.notify_all();
+  this->work_available.notify_one();
+  this->space_available.notify_all();
 }
 
-// Returns whether a drain was newly asked for.
+// Returns whether a drain was requested and has not been started yet.
 bool CoreLoop::WaitForWork(std::deque<Event>* batch, bool draining) {
   auto deadline = ToSteady(this->core.next_wakeup());
   if (draining && this->core.drained()) {
@@ -62,7 +63,7 @@
         std::min(deadline, std::chrono::steady_clock::now() + kIdleCheck);
   }
   std::unique_lock<std::mutex> lock(this->mutex);
-  this->work.wait_until(lock, deadline, [this, draining] {
+  this->work_available.wait_until(lock, deadline, [this, draining] {
     return !this->queue.empty() || this->stop_requested ||
            (this->drain_requested && !draining);
   });
@@ -72,7 +73,7 @@
   this->counts.longest_queue =
       std::max(this->counts.longest_queue, std::uint64_t{batch->size()});
   if (batch->size() >= kMaxQueuedEvents) {
-    this->room.notify_all();
+    this->space_available.notify_all();
   }
   return this->drain_requested && !draining;
 }
@@ -90,7 +91,7 @@
   while (true) {
     std::deque<Event> batch;
     const bool drain_now = this->WaitForWork(&batch, draining);
-    const Instant begun = SteadyNow();
+    const Instant batch_start = SteadyNow();
     for (const Event& event : batch) {
       this->Execute(this->core.step(SteadyNow(), event), actions);
     }
@@ -104,7 +105,7 @@
     actions.flush();
     const bool ended = draining && this->core.drained() && actions.idle();
     const std::lock_guard<std::mutex> lock(this->mutex);
-    this->counts.busy += SteadyNow() - begun;
+    this->counts.busy += SteadyNow() - batch_start;
     if (this->stop_requested || (ended && this->queue.empty())) {
       return;
     }
--- a/src/adapters/detail/address.h
+++ b/src/adapters/detail/address.h
@@ -1,6 +1,5 @@
 /// @file
-/// @brief Addresses written "ip:port", and the sink that adapters hand events
-/// to.
+/// @brief Parsing of "ip:port" addresses, and the sink for adapters' events.
 #pragma once
 
 #include <netinet/in.h>
@@ -15,23 +14,24 @@
 
 namespace limpetlink {
 
-/// @brief Takes an event of an adapter; called from the adapter's threads, may
-/// block while the
-///        taker is behind. Adapters hold no lock while they call it.
+/// @brief Receives the events of an adapter.
+///
+/// Adapters call it from their own threads without holding a lock; it may block
+/// while the receiver's queue is full.
 using EventSink = std::function<void(Event event)>;
 
-/// @brief A socket address ready for the system calls.
+/// @brief A socket address in the form that system calls expect.
 struct SocketAddress {
   sockaddr_storage storage{};
   socklen_t size = 0;
 
-  /// @return the address as the system calls take it
+  /// @return the address as a pointer for system calls
   const sockaddr* Get() const;
 };
 
 /// @brief Parses "ip:port".
-/// @param text as "127.0.0.1:8080" or "[::1]:8080"
-/// @return the address, or request.101 when the text is none
+/// @param text an address such as "127.0.0.1:8080" or "[::1]:8080"
+/// @return the address, or request.101 when the text is not an address
 absl::StatusOr<SocketAddress> ParseSocketAddress(const std::string& text);
 
 }  // namespace limpetlink
--- a/src/adapters/detail/core_loop.h
+++ b/src/adapters/detail/core_loop.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The one thread that owns the core and feeds it events and time.
+/// @brief The loop that runs the core on a single thread.
 #pragma once
 
 #include <condition_variable>
@@ -12,8 +12,8 @@
 
 namespace limpetlink {
 
-/// @brief The core as the loop drives it; all hooks are called from the loop's
-/// thread only.
+/// @brief The functions of a core; the loop calls them only from its own
+/// thread.
 struct CoreHooks {
   std::function<Actions(Instant)> start;
   std::function<Actions(Instant, const Event&)> step;
@@ -23,15 +23,15 @@
   std::function<bool()> drained;
 };
 
-/// @brief Where the core's orders go.
+/// @brief Functions that receive the core's actions.
 struct ActionHooks {
-  std::function<void(Action)> execute;  ///< one order
-  std::function<void()> flush;          ///< after a batch of orders
-  std::function<bool()> idle;  ///< whether no reply is still being sent
+  std::function<void(Action)> execute;  ///< executes one action
+  std::function<void()> flush;          ///< called after a batch of actions
+  std::function<bool()> idle;           ///< whether all replies have been sent
 };
 
-/// @brief Makes hooks that drive a core with EntryHost's interface.
-/// @param core outlives the loop
+/// @brief Creates hooks for a core that has the interface of EntryHost.
+/// @param core the core, which must outlive the loop
 template <typename Core>
 CoreHooks HooksOf(Core* core) {
   CoreHooks hooks;
@@ -46,53 +46,53 @@
   return hooks;
 }
 
-/// @brief The core's time now: the machine's monotonic clock.
+/// @brief Returns the current time of the core, from the monotonic clock.
 Instant SteadyNow();
 
-/// @brief Counts of a CoreLoop since its start.
+/// @brief Counters of a CoreLoop since its start.
 struct CoreLoopCounts {
   std::uint64_t events = 0;
   std::uint64_t batches = 0;
   std::uint64_t longest_queue = 0;
-  Duration busy{0};  ///< time spent in the core and in handing its orders on
+  Duration busy{0};  ///< time spent in the core and in executing its
+                     ///< actions
 };
 
-/// @brief Runs a core: events in sequence, ticks when they are due, orders to
-/// the adapters.
+/// @brief Runs a core: passes it events in order and ticks when they are due,
+/// and passes its actions to the adapters.
 /// @note Example:
 /// @code
 /// CoreLoop loop(HooksOf(&host));
 /// HttpServer server(settings, loop.Sink());
-/// loop.Run(actions);  // returns once RequestDrain or RequestStop was called
-/// and carried out
+/// loop.Run(actions);  // returns after RequestDrain or RequestStop
 /// @endcode
 class CoreLoop {
  public:
-  /// @brief Events that may wait before adapters are held back.
+  /// @brief Maximum number of queued events; when it is reached, Post blocks.
   static constexpr std::size_t kMaxQueuedEvents = 65536;
 
   /// @param hooks the core
   explicit CoreLoop(CoreHooks hooks);
 
-  /// @brief Queues an event; blocks while the queue is full. Any thread but the
-  /// loop's.
+  /// @brief Queues an event; blocks while the queue is full. May be called from
+  /// any thread except the loop's.
   void Post(Event event);
 
   /// @return a sink that posts to this loop
   EventSink Sink();
 
-  /// @brief Begins the graceful shutdown; Run returns once all is finished. Any
-  /// thread.
+  /// @brief Starts the graceful shutdown; Run returns once all requests have
+  /// finished. Thread-safe.
   void RequestDrain();
 
-  /// @brief Makes Run return at once; what is in progress is cut. Any thread.
+  /// @brief Makes Run return at once and aborts open requests. Thread-safe.
   void RequestStop();
 
-  /// @brief Drives the core on the calling thread.
-  /// @param actions where its orders go
+  /// @brief Runs the core on the calling thread.
+  /// @param actions receive the core's actions
   void Run(const ActionHooks& actions);
 
-  /// @return counts since the start
+  /// @return the counters since the start
   CoreLoopCounts Counts() const;
 
  private:
@@ -100,9 +100,9 @@
   void Execute(Actions actions, const ActionHooks& hooks);
 
   CoreHooks core;
-  mutable std::mutex mutex;  ///< guards all below
-  std::condition_variable work;
-  std::condition_variable room;
+  mutable std::mutex mutex;  ///< guards all members below
+  std::condition_variable work_available;
+  std::condition_variable space_available;
   std::deque<Event> queue;
   bool drain_requested = false;
   bool stop_requested = false;
--- a/src/adapters/detail/exchange.h
+++ b/src/adapters/detail/exchange.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief One request of a caller and its reply, between libmicrohttpd's thread
-/// and the core's.
+/// @brief One request of a caller and its reply, shared by the threads of
+/// libmicrohttpd and the core.
 #pragma once
 
 #include <microhttpd.h>
@@ -13,95 +13,105 @@
 
 namespace limpetlink {
 
-/// @return the socket of a connection
+/// @return the socket of a connection, or -1
 int SocketOf(MHD_Connection* connection);
 
-/// @brief What the reply's reader found.
-enum class ReadResult { kBytes, kSuspended, kEnd, kCut };
+/// @brief Result of reading the reply's buffer.
+enum class ReadResult {
+  kBytes,      ///< bytes were copied
+  kSuspended,  ///< no bytes are available; the connection was suspended
+  kEnd,        ///< the reply is complete
+  kCut         ///< the connection is to be closed without completing the reply
+};
 
 /// @brief State shared by the server's thread, its watcher and the core's
 /// thread.
 ///
-/// Every public function takes the exchange's own lock, and none calls out of
-/// the adapter.
+/// Every public function locks the exchange's mutex, and none calls code
+/// outside the adapter.
 class Exchange {
  public:
-  /// @param id the request's id
-  /// @param target the request's target as sent
+  /// @param id the id of the request
+  /// @param target the request target as sent
   Exchange(RequestId id, const std::string& target);
 
-  /// @return the request's id
+  /// @return the id of the request
   RequestId Id() const { return this->id; }
 
-  // ---- the server's thread, before the request is handed over ----
+  // ---- Server's thread, before the request is passed to the core ----
 
-  /// @brief Notes the request line and headers; true for the first call.
+  /// @brief Stores the request line and headers.
+  /// @return whether this is the first call
   bool Begin(MHD_Connection* to, const char* method);
 
-  /// @brief Adds bytes of the body.
-  /// @return false when so much arrived that the connection is to be cut
-  bool AddBody(const char* bytes, std::size_t size, std::size_t bound);
+  /// @brief Appends bytes to the body.
+  /// @param limit maximum size of the body in bytes; a longer body is dropped
+  /// @return false when so many bytes arrived that the connection is to be
+  /// closed
+  bool AppendBody(const char* bytes, std::size_t size, std::size_t limit);
 
-  /// @brief Suspends the connection and gives the request away; true for the
-  /// first call.
+  /// @brief Suspends the connection and moves the request out.
+  /// @return whether this is the first call
   bool HandOver(CallerRequest* to);
 
-  // ---- the core's orders ----
+  // ---- Actions of the core ----
 
   /// @brief Starts the reply.
   void SetHead(const ReplyHead& to);
 
-  /// @brief Adds to the reply.
-  /// @return false when the bound is passed; the caller is then cut
-  bool AddReply(std::string bytes, std::size_t bound);
+  /// @brief Appends bytes to the reply.
+  /// @param limit maximum number of unsent bytes
+  /// @return false when the limit is exceeded, which closes the connection
+  bool AppendReply(std::string bytes, std::size_t limit);
 
   /// @brief Ends the reply.
+  /// @param abort whether to close the connection without completing the reply
   void End(bool abort);
 
-  /// @brief Cuts the caller at the next step of its connection.
+  /// @brief Marks the connection to be closed when it is next processed.
   void Cut();
 
-  /// @brief Marks the exchange as touched since the last flush.
-  /// @return whether it was not marked before
-  bool Touch();
+  /// @brief Marks the exchange as changed since the last flush.
+  /// @return whether it was unmarked before
+  bool MarkChanged();
 
-  /// @brief Goes on with the connection if it is suspended, and clears the
-  /// mark.
+  /// @brief Clears the mark and resumes the connection if it is suspended.
   void Resume();
 
-  // ---- the server's thread, for the reply ----
+  // ---- Server's thread, for the reply ----
 
-  /// @brief Makes the response when the core has answered.
-  /// @param reader,free reader of a reply that is not whole yet; takes `holder`
-  /// as its argument
-  /// @return the response, or nullptr when there is none yet
+  /// @brief Creates the response once the core has started its reply.
+  /// @param reader,free callbacks for a reply that is not complete yet; they
+  /// receive `holder` as their argument
+  /// @param used_reader set to whether the response uses the callbacks
+  /// @return the response, or nullptr when the reply has not started
   MHD_Response* MakeResponse(int* status, MHD_ContentReaderCallback reader,
                              void* holder, MHD_ContentReaderFreeCallback free,
                              bool* used_reader);
 
-  /// @brief Suspends the connection unless it has been told to go on.
-  /// @return whether the connection is to be cut
-  bool WaitOrCut();
+  /// @brief Suspends the connection unless it is to be closed.
+  /// @return whether the connection is to be closed
+  bool SuspendUnlessCut();
 
-  /// @brief Takes bytes of the reply.
-  /// @param taken bytes copied into `to`
-  /// @param drained set when the core is to be told how much is left
+  /// @brief Moves bytes of the reply out of its buffer.
+  /// @param copied set to the number of bytes copied to `to`
+  /// @param drained set when the core is to be notified of the remaining bytes
   ReadResult Read(char* to, std::size_t max, std::size_t drain_step,
-                  std::size_t* taken, CallerBufferDrained* drained);
+                  std::size_t* copied, CallerBufferDrained* drained);
 
-  /// @brief Notes that the caller left, once.
-  /// @return whether the core is to be told
-  bool SetGone();
+  /// @brief Records that the caller disconnected.
+  /// @return whether the core is to be notified, at most once
+  bool SetDisconnected();
 
-  /// @brief Notes that the connection is done with this request.
-  /// @return whether the core is to be told that the caller left
+  /// @brief Records that the connection has finished this request.
+  /// @return whether the core is to be notified that the caller disconnected
   bool Finish();
 
-  /// @return whether the request was handed over
+  /// @return whether the request was passed to the core
   bool HandedOver();
 
-  /// @return whether the body passed the bound
-  bool TooLarge();
+  /// @return whether the body exceeded the limit
+  bool BodyTooLarge();
 
  private:
   std::size_t Unsent() const { return this->reply.size() - this->reply_offset; }
@@ -111,20 +121,20 @@
   CallerRequest request;
   MHD_Connection* connection = nullptr;
   std::size_t discarded = 0;
-  bool begun = false;
+  bool started = false;
   bool handed_over = false;
   bool suspended = false;
-  bool touched = false;
+  bool changed = false;
   bool has_head = false;
   bool ended = false;
   bool abort_at_end = false;
   bool cut = false;
-  bool gone = false;
+  bool disconnected = false;
   bool finished = false;
   ReplyHead head;
   std::string reply;
   std::size_t reply_offset = 0;
-  std::size_t untold = 0;
+  std::size_t unreported = 0;  ///< bytes sent since the last notification
 };
 
 }  // namespace limpetlink
--- a/src/adapters/detail/handshake.h
+++ b/src/adapters/detail/handshake.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief The three messages by which two hosts prove to each other that they
-/// share the secret.
+/// @brief The handshake in which two hosts authenticate each other by a shared
+/// secret.
 #pragma once
 
 #include <optional>
@@ -11,35 +11,37 @@
 
 namespace limpetlink {
 
-/// @brief One side of a handshake; pure, so that it is tested without a socket.
+/// @brief One side of a handshake. It performs no I/O, so that it can be tested
+/// without a socket.
 ///
-/// The connecting side sends Hello, the accepting side answers with a challenge
-/// that proves its knowledge of the secret, the connecting side ends with its
-/// own proof.
+/// The connecting side sends Hello. The accepting side responds with a
+/// challenge that proves its knowledge of the secret. The connecting side
+/// finishes with its own proof.
 class Handshake {
  public:
-  /// @param secret shared by all hosts
-  /// @param self this side's host
-  /// @param nonce fresh random text of this side
+  /// @param secret the secret shared by all hosts
+  /// @param self the host of this side
+  /// @param nonce a new random text of this side
   Handshake(std::string secret, HostId self, std::string nonce);
 
-  /// @brief First message of the connecting side.
-  /// @param to whom it wants to reach
+  /// @brief Connecting side: returns the first message.
+  /// @param to the host expected at the other side
   std::string Hello(const HostId& to);
 
-  /// @brief Accepting side: takes a Hello.
-  /// @return the challenge to send, or nothing when the message is refused
+  /// @brief Accepting side: handles a Hello.
+  /// @return the challenge to send, or std::nullopt when the message is
+  /// rejected
   std::optional<std::string> Challenge(std::string_view hello);
 
-  /// @brief Connecting side: takes the challenge.
-  /// @return the proof to send, or nothing when the message is refused
+  /// @brief Connecting side: handles the challenge.
+  /// @return the proof to send, or std::nullopt when the message is rejected
   std::optional<std::string> Prove(std::string_view challenge);
 
-  /// @brief Accepting side: takes the proof.
-  /// @return whether the peer has the secret
+  /// @brief Accepting side: verifies the proof.
+  /// @return whether the peer knows the secret
   bool Accept(std::string_view proof) const;
 
-  /// @return the other side's host, meaningful once it has proved itself
+  /// @return the host of the other side; valid once it has been authenticated
   const HostId& Peer() const { return this->peer; }
 
  private:
--- a/src/adapters/detail/http_server.h
+++ b/src/adapters/detail/http_server.h
@@ -1,6 +1,5 @@
 /// @file
-/// @brief Callers' HTTP requests in, the core's replies out, over
-/// libmicrohttpd.
+/// @brief HTTP server for callers' requests that uses libmicrohttpd.
 #pragma once
 
 #include <chrono>
@@ -12,37 +11,39 @@
 
 namespace limpetlink {
 
-/// @brief How an HttpServer is set up.
+/// @brief Settings of an HttpServer.
 struct HttpServerSettings {
-  std::string listen;  ///< "ip:port"; port 0 takes a free one
-  std::size_t max_body_bytes =
-      1U << 20U;  ///< a longer body is dropped and said so
-  std::size_t max_buffered_bytes =
-      4U << 20U;                    ///< of one reply; more cuts the caller
-  unsigned max_connections = 8192;  ///< more wait in the listen queue
+  std::string listen;  ///< "ip:port"; port 0 selects a free port
+  /// Maximum size of a body; a longer one is dropped and reported as
+  /// CallerRequest::body_too_large.
+  std::size_t max_body_bytes = 1U << 20U;
+  /// Maximum number of unsent bytes of one reply; beyond it the server closes
+  /// the connection.
+  std::size_t max_buffered_bytes = 4U << 20U;
+  unsigned max_connections = 8192;  ///< further ones wait in the backlog
   unsigned threads = 1;             ///< polling threads
-  std::chrono::seconds idle_timeout{
-      120};  ///< for a caller that neither sends nor reads
+  /// Timeout of a connection on which the caller neither sends nor receives.
+  std::chrono::seconds idle_timeout{120};
 };
 
-/// @brief Counts of an HttpServer since its start.
+/// @brief Counters of an HttpServer since its start.
 struct HttpServerCounts {
-  std::uint64_t requests = 0;  ///< requests handed to the core
-  std::uint64_t open = 0;      ///< requests without a final answer now
-  std::uint64_t disconnected =
-      0;                        ///< callers that left before their final answer
-  std::uint64_t too_large = 0;  ///< bodies over the bound
-  std::uint64_t overflowed =
-      0;  ///< callers cut since their reply's buffer was full
+  std::uint64_t requests = 0;  ///< requests passed to the core
+  std::uint64_t open = 0;      ///< requests without a complete reply now
+  /// Callers that disconnected before the end of their reply.
+  std::uint64_t disconnected = 0;
+  std::uint64_t too_large = 0;  ///< bodies over the limit
+  /// Connections closed because the reply's buffer was full.
+  std::uint64_t overflowed = 0;
 };
 
-/// @brief Serves HTTP/1.1. A request is suspended until the core answers; no
-/// thread waits for it.
+/// @brief Serves HTTP/1.1. A request is suspended until the core replies,
+/// without blocking a thread.
 ///
-/// Emits CallerRequest once a body is whole, CallerBufferDrained at the latest
-/// when HttpServer::kDrainStep bytes more were taken than last told, and
-/// CallerDisconnected when the caller closes or half-closes its connection
-/// before its final answer.
+/// Emits CallerRequest once a body is complete, CallerBufferDrained at the
+/// latest when HttpServer::kDrainStep more bytes were sent since the previous
+/// one, and CallerDisconnected when the caller closes or half-closes its
+/// connection before the end of its reply.
 /// @note Example:
 /// @code
 /// HttpServer server(settings, sink);
@@ -53,37 +54,38 @@
 /// @endcode
 class HttpServer {
  public:
-  /// @brief Bytes that may be taken from a reply's buffer before the core is
-  /// told.
+  /// @brief Number of bytes sent from a reply's buffer after which the core is
+  /// notified.
   static constexpr std::size_t kDrainStep = 8U << 10U;
 
-  /// @param settings where and within which bounds to serve
-  /// @param sink takes the events
+  /// @param settings address and limits of the server
+  /// @param sink receives the events
   HttpServer(HttpServerSettings settings, EventSink sink);
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// @brief Listens and begins to serve.
-  /// @return request.101 for a bad address, platform-independent unavailable
-  /// when it cannot listen
+  /// @brief Listens and starts to serve.
+  /// @return request.101 for an invalid address, or absl::UnavailableError
+  /// without an error code when the address cannot be listened on
   absl::Status Start();
 
-  /// @brief Cuts all connections and ends the threads.
+  /// @brief Closes all connections and joins the threads.
   void Stop();
 
-  /// @return the port that is listened on, once started
+  /// @return the port on which the server listens; 0 unless started
   std::uint16_t Port() const;
 
-  /// @brief Carries an order out; unknown requests are passed over. Any thread.
+  /// @brief Executes an action of the core; actions for unknown requests are
+  /// ignored. Thread-safe.
   void Execute(const ReplyHead& head);
   void Execute(ReplyBody body);
   void Execute(const ReplyEnd& end);
 
-  /// @brief Wakes the connections that got something since the last Flush.
+  /// @brief Resumes the connections that received actions since the last Flush.
   void Flush();
 
-  /// @return counts since the start
+  /// @return the counters since the start
   HttpServerCounts Counts() const;
 
  private:
--- a/src/adapters/detail/transfer.h
+++ b/src/adapters/detail/transfer.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One HTTP call in libcurl's hands.
+/// @brief One HTTP call made with libcurl.
 #pragma once
 
 #include <curl/curl.h>
@@ -21,31 +21,31 @@
   void operator()(curl_slist* list) const { curl_slist_free_all(list); }
 };
 
-/// @brief One call: its request, its handle and what of the answer has come.
-/// Used by the client's
-///        thread only.
+/// @brief One call: its request, its libcurl handle and the part of the
+/// response received so far. Not thread-safe; the client uses it on its own
+/// thread.
 class Transfer {
  public:
-  /// @param call the order
-  /// @param sink takes the events; outlives the transfer
+  /// @param call the call to make
+  /// @param sink receives the events and must outlive the transfer
   Transfer(HttpCall call, const EventSink* sink);
   Transfer(const Transfer&) = delete;
   Transfer& operator=(const Transfer&) = delete;
 
-  /// @return the handle to give to the multi handle
+  /// @return the easy handle to add to the multi handle
   CURL* Easy() const { return this->easy.get(); }
 
   /// @return the call's id
   CallId Id() const { return this->call.id; }
 
-  /// @brief Says how the call ended.
+  /// @brief Converts libcurl's result to the end of the call.
   /// @param code libcurl's result
-  HttpEnd EndOf(CURLcode code) const;
+  HttpEnd ToHttpEnd(CURLcode code) const;
 
-  /// @return whether the library wanted to send the request a second time
-  bool RepeatRefused() const { return this->sends > 1; }
+  /// @return whether a second send of the request by libcurl was blocked
+  bool ResendBlocked() const { return this->sends > 1; }
 
-  /// @brief Stops or goes on reading.
+  /// @brief Pauses or resumes reading the response.
   void Pause(bool paused);
 
  private:
@@ -58,14 +58,14 @@
 
   void SetRequest();
   void SetLimits();
-  void TakeHeaderLine(std::string_view line);
+  void HandleHeaderLine(std::string_view line);
 
   HttpCall call;
   const EventSink* sink;
   std::unique_ptr<CURL, EasyCleanup> easy;
-  std::unique_ptr<curl_slist, ListCleanup> list;
+  std::unique_ptr<curl_slist, ListCleanup> header_lines;
   HttpHead head;
-  bool head_told = false;
+  bool head_emitted = false;
   int sends = 0;
 };
 
--- a/src/adapters/exchange.cc
+++ b/src/adapters/exchange.cc
@@ -9,8 +9,8 @@
 namespace limpetlink {
 namespace {
 
-// Bytes over the bound that are read and dropped, so that the caller gets its
-// refusal.
+// Maximum number of bytes over the limit that are read and dropped, so that the
+// caller receives the rejection.
 constexpr std::size_t kMaxDiscardedBytes = 16U << 20U;
 constexpr std::size_t kReaderBlockBytes = 16U << 10U;
 constexpr std::size_t kCompactBytes = 64U << 10U;
@@ -25,7 +25,7 @@
   return MHD_YES;
 }
 
-// The library writes these itself.
+// libmicrohttpd writes these headers itself.
 bool IsFramingHeader(const std::string& name) {
   for (const char* const framing :
        {"Content-Length", "Transfer-Encoding", "Connection"}) {
@@ -45,20 +45,20 @@
 }
 
 Exchange::Exchange(RequestId id, const std::string& target) : id(id) {
-  const std::size_t question = target.find('?');
+  const std::size_t question_mark = target.find('?');
   this->request.id = id;
-  this->request.path = target.substr(0, question);
-  if (question != std::string::npos) {
-    this->request.query = target.substr(question + 1);
+  this->request.path = target.substr(0, question_mark);
+  if (question_mark != std::string::npos) {
+    this->request.query = target.substr(question_mark + 1);
   }
 }
 
 bool Exchange::Begin(MHD_Connection* to, const char* method) {
   const std::lock_guard<std::mutex> lock(this->mutex);
-  if (this->begun) {
+  if (this->started) {
     return false;
   }
-  this->begun = true;
+  this->started = true;
   this->connection = to;
   this->request.method = method;
   MHD_get_connection_values_n(to, MHD_HEADER_KIND, &AddHeader,
@@ -66,10 +66,11 @@
   return true;
 }
 
-bool Exchange::AddBody(const char* bytes, std::size_t size, std::size_t bound) {
+bool Exchange::AppendBody(const char* bytes, std::size_t size,
+                          std::size_t limit) {
   const std::lock_guard<std::mutex> lock(this->mutex);
   if (!this->request.body_too_large &&
-      this->request.body.size() + size <= bound) {
+      this->request.body.size() + size <= limit) {
     this->request.body.append(bytes, size);
     return true;
   }
@@ -101,15 +102,15 @@
   this->has_head = true;
 }
 
-bool Exchange::AddReply(std::string bytes, std::size_t bound) {
+bool Exchange::AppendReply(std::string bytes, std::size_t limit) {
   const std::lock_guard<std::mutex> lock(this->mutex);
-  if (this->ended || this->gone || this->finished) {
+  if (this->ended || this->disconnected || this->finished) {
     return true;
   }
-  if (this->Unsent() + bytes.size() > bound) {
+  if (this->Unsent() + bytes.size() > limit) {
     this->cut = true;
-    // The library waits for a caller that does not read; this ends the wait at
-    // once.
+    // libmicrohttpd waits for a caller that does not read; shutdown ends the
+    // wait at once.
     shutdown(SocketOf(this->connection), SHUT_RDWR);
     return false;
   }
@@ -132,16 +133,16 @@
   this->cut = true;
 }
 
-bool Exchange::Touch() {
+bool Exchange::MarkChanged() {
   const std::lock_guard<std::mutex> lock(this->mutex);
-  const bool first = !this->touched;
-  this->touched = true;
+  const bool first = !this->changed;
+  this->changed = true;
   return first;
 }
 
 void Exchange::Resume() {
   const std::lock_guard<std::mutex> lock(this->mutex);
-  this->touched = false;
+  this->changed = false;
   if (this->suspended && !this->finished) {
     this->suspended = false;
     MHD_resume_connection(this->connection);
@@ -157,10 +158,10 @@
   if (!this->has_head || this->cut) {
     return nullptr;
   }
-  const bool whole =
+  const bool complete =
       this->ended && !this->abort_at_end && this->reply_offset == 0;
   MHD_Response* response = nullptr;
-  if (whole) {
+  if (complete) {
     response = MHD_create_response_from_buffer(
         this->reply.size(), this->reply.data(), MHD_RESPMEM_MUST_COPY);
     this->reply.clear();
@@ -171,7 +172,7 @@
   if (response == nullptr) {
     return nullptr;
   }
-  *used_reader = !whole;
+  *used_reader = !complete;
   *status = this->head.status;
   for (const Header& header : this->head.headers) {
     if (!IsFramingHeader(header.name)) {
@@ -182,7 +183,7 @@
   return response;
 }
 
-bool Exchange::WaitOrCut() {
+bool Exchange::SuspendUnlessCut() {
   const std::lock_guard<std::mutex> lock(this->mutex);
   if (this->cut || this->ended) {
     return true;
@@ -193,13 +194,13 @@
 }
 
 ReadResult Exchange::Read(char* to, std::size_t max, std::size_t drain_step,
-                          std::size_t* taken, CallerBufferDrained* drained) {
+                          std::size_t* copied, CallerBufferDrained* drained) {
   const std::lock_guard<std::mutex> lock(this->mutex);
   if (this->cut) {
     return ReadResult::kCut;
   }
-  *taken = std::min(max, this->Unsent());
-  if (*taken == 0) {
+  *copied = std::min(max, this->Unsent());
+  if (*copied == 0) {
     if (this->ended) {
       return this->abort_at_end ? ReadResult::kCut : ReadResult::kEnd;
     }
@@ -207,9 +208,9 @@
     MHD_suspend_connection(this->connection);
     return ReadResult::kSuspended;
   }
-  std::memcpy(to, this->reply.data() + this->reply_offset, *taken);
-  this->reply_offset += *taken;
-  this->untold += *taken;
+  std::memcpy(to, this->reply.data() + this->reply_offset, *copied);
+  this->reply_offset += *copied;
+  this->unreported += *copied;
   if (this->Unsent() == 0) {
     this->reply.clear();
     this->reply_offset = 0;
@@ -217,32 +218,33 @@
     this->reply.erase(0, this->reply_offset);
     this->reply_offset = 0;
   }
-  if (this->untold >= drain_step && !this->ended) {
-    this->untold = 0;
+  if (this->unreported >= drain_step && !this->ended) {
+    this->unreported = 0;
     drained->id = this->id;
     drained->buffered = this->Unsent();
   }
   return ReadResult::kBytes;
 }
 
-bool Exchange::SetGone() {
+bool Exchange::SetDisconnected() {
   const std::lock_guard<std::mutex> lock(this->mutex);
-  if (this->gone || this->finished || this->ended || !this->handed_over) {
+  if (this->disconnected || this->finished || this->ended ||
+      !this->handed_over) {
     return false;
   }
-  this->gone = true;
+  this->disconnected = true;
   this->cut = true;
   return true;
 }
 
 bool Exchange::Finish() {
   const std::lock_guard<std::mutex> lock(this->mutex);
-  const bool tell = this->handed_over && !this->gone && !this->ended;
+  const bool notify = this->handed_over && !this->disconnected && !this->ended;
   this->finished = true;
   this->suspended = false;
   this->reply.clear();
   this->reply_offset = 0;
-  return tell;
+  return notify;
 }
 
 bool Exchange::HandedOver() {
@@ -250,7 +252,7 @@
   return this->handed_over;
 }
 
-bool Exchange::TooLarge() {
+bool Exchange::BodyTooLarge() {
   const std::lock_guard<std::mutex> lock(this->mutex);
   return this->request.body_too_large;
 }
--- a/src/adapters/handshake.cc
+++ b/src/adapters/handshake.cc
@@ -8,7 +8,7 @@
 using Json = nlohmann::json;
 
 constexpr int kVersion = 1;
-constexpr std::size_t kLongestField = 200;
+constexpr std::size_t kMaxFieldBytes = 200;
 
 std::string Encode(const Json& message) {
   const std::vector<std::uint8_t> bytes = Json::to_cbor(message);
@@ -26,7 +26,7 @@
     return std::nullopt;
   }
   std::string text = found->get<std::string>();
-  if (text.empty() || text.size() > kLongestField) {
+  if (text.empty() || text.size() > kMaxFieldBytes) {
     return std::nullopt;
   }
   return text;
@@ -68,13 +68,14 @@
   const Json message = Decode(hello);
   const std::optional<std::string> from = TextOf(message, "from");
   const std::optional<std::string> to = TextOf(message, "to");
-  const std::optional<std::string> their_nonce = TextOf(message, "nonce");
-  if (!HasVersion(message) || !from.has_value() || !their_nonce.has_value() ||
-      to != this->self.value || *from == this->self.value) {
+  const std::optional<std::string> received_nonce = TextOf(message, "nonce");
+  if (!HasVersion(message) || !from.has_value() ||
+      !received_nonce.has_value() || to != this->self.value ||
+      *from == this->self.value) {
     return std::nullopt;
   }
   this->peer = HostId{*from};
-  this->peer_nonce = *their_nonce;
+  this->peer_nonce = *received_nonce;
   return Encode({{"version", kVersion},
                  {"from", this->self.value},
                  {"nonce", this->nonce},
@@ -85,16 +86,16 @@
 std::optional<std::string> Handshake::Prove(std::string_view challenge) {
   const Json message = Decode(challenge);
   const std::optional<std::string> from = TextOf(message, "from");
-  const std::optional<std::string> their_nonce = TextOf(message, "nonce");
+  const std::optional<std::string> received_nonce = TextOf(message, "nonce");
   const std::optional<std::string> mac = TextOf(message, "mac");
   if (!HasVersion(message) || from != this->peer.value ||
-      !their_nonce.has_value() || !mac.has_value()) {
+      !received_nonce.has_value() || !mac.has_value()) {
     return std::nullopt;
   }
-  this->peer_nonce = *their_nonce;
-  const std::string wanted = this->Mac("accept", this->nonce, this->peer_nonce,
-                                       this->self, this->peer);
-  if (!EqualInConstantTime(wanted, *mac)) {
+  this->peer_nonce = *received_nonce;
+  const std::string expected = this->Mac(
+      "accept", this->nonce, this->peer_nonce, this->self, this->peer);
+  if (!EqualInConstantTime(expected, *mac)) {
     return std::nullopt;
   }
   return Encode({{"mac", this->Mac("connect", this->nonce, this->peer_nonce,
@@ -103,9 +104,9 @@
 
 bool Handshake::Accept(std::string_view proof) const {
   const std::optional<std::string> mac = TextOf(Decode(proof), "mac");
-  const std::string wanted = this->Mac("connect", this->peer_nonce, this->nonce,
-                                       this->peer, this->self);
-  return mac.has_value() && EqualInConstantTime(wanted, *mac);
+  const std::string expected = this->Mac("connect", this->peer_nonce,
+                                         this->nonce, this->peer, this->self);
+  return mac.has_value() && EqualInConstantTime(expected, *mac);
 }
 
 }  // namespace limpetlink
--- a/src/adapters/http_client.cc
+++ b/src/adapters/http_client.cc
@@ -21,7 +21,7 @@
   void operator()(CURLM* multi) const { curl_multi_cleanup(multi); }
 };
 
-// libcurl's global state is set up once and lives as long as the process.
+// Initialises libcurl's global state once; it is never released.
 void InitialiseLibrary() {
   static const CURLcode result = curl_global_init(CURL_GLOBAL_ALL);
   static_cast<void>(result);
@@ -76,11 +76,11 @@
 
  private:
   void Run();
-  void CarryOut();
+  void ExecuteCommands();
   void Begin(HttpCall call);
   void Cancel(CallId id);
   void Pause(const HttpPause& pause);
-  void CollectEnds();
+  void HandleCompletions();
   void Finish(CURL* easy, CURLcode code);
   void Count(const Transfer& transfer, HttpEnd end);
 
@@ -92,15 +92,15 @@
   std::vector<Command> commands;
   HttpClientCounts counts;
   std::unordered_map<CallId, std::unique_ptr<Transfer>>
-      transfers;  ///< of the thread
+      transfers;  ///< used only by the thread
 };
 
 void HttpClient::Impl::Run() {
   while (!this->stopping) {
-    this->CarryOut();
+    this->ExecuteCommands();
     int running = 0;
     curl_multi_perform(this->multi.get(), &running);
-    this->CollectEnds();
+    this->HandleCompletions();
     curl_multi_poll(this->multi.get(), nullptr, 0, kPollMilliseconds, nullptr);
   }
   for (const auto& [id, transfer] : this->transfers) {
@@ -109,7 +109,7 @@
   this->transfers.clear();
 }
 
-void HttpClient::Impl::CarryOut() {
+void HttpClient::Impl::ExecuteCommands() {
   std::vector<Command> batch;
   {
     const std::lock_guard<std::mutex> lock(this->mutex);
@@ -159,10 +159,10 @@
   }
 }
 
-void HttpClient::Impl::CollectEnds() {
-  int left = 0;
+void HttpClient::Impl::HandleCompletions() {
+  int remaining = 0;
   while (const CURLMsg* const message =
-             curl_multi_info_read(this->multi.get(), &left)) {
+             curl_multi_info_read(this->multi.get(), &remaining)) {
     if (message->msg == CURLMSG_DONE) {
       this->Finish(message->easy_handle, message->data.result);
     }
@@ -172,7 +172,7 @@
 void HttpClient::Impl::Finish(CURL* easy, CURLcode code) {
   Transfer* transfer = nullptr;
   curl_easy_getinfo(easy, CURLINFO_PRIVATE, &transfer);
-  const HttpDone done{transfer->Id(), transfer->EndOf(code)};
+  const HttpDone done{transfer->Id(), transfer->ToHttpEnd(code)};
   this->Count(*transfer, done.end);
   curl_multi_remove_handle(this->multi.get(), easy);
   this->transfers.erase(done.id);
@@ -182,7 +182,7 @@
 void HttpClient::Impl::Count(const Transfer& transfer, HttpEnd end) {
   const std::lock_guard<std::mutex> lock(this->mutex);
   --this->counts.open;
-  this->counts.resends_blocked += transfer.RepeatRefused() ? 1 : 0;
+  this->counts.resends_blocked += transfer.ResendBlocked() ? 1 : 0;
   switch (end) {
     case HttpEnd::kComplete:
       ++this->counts.complete;
--- a/src/adapters/http_server.cc
+++ b/src/adapters/http_server.cc
@@ -19,8 +19,8 @@
 
 using ExchangePointer = std::shared_ptr<Exchange>;
 
-constexpr std::uint64_t kWakeWatcher = 0;  // no request has this id
-constexpr int kWatcherBatch = 64;
+constexpr std::uint64_t kWakeupId = 0;  // no request uses this id
+constexpr int kMaxWatcherEvents = 64;
 
 }  // namespace
 
@@ -35,7 +35,7 @@
   void Stop();
   std::uint16_t Port() const;
   ExchangePointer Find(RequestId id);
-  void Touch(const ExchangePointer& exchange);
+  void MarkChanged(const ExchangePointer& exchange);
   void Flush();
 
   HttpServerSettings settings;
@@ -43,11 +43,12 @@
   std::atomic<std::uint64_t> disconnected{0};
   std::atomic<std::uint64_t> too_large{0};
   std::atomic<std::uint64_t> overflowed{0};
-  std::mutex mutex;  ///< guards exchanges and touched
+  std::mutex mutex;  ///< guards exchanges and changed
   std::unordered_map<RequestId, ExchangePointer> exchanges;
 
  private:
-  /// What libmicrohttpd keeps for a request, and for the reader of its reply.
+  /// State that libmicrohttpd stores for a request and for the reader of its
+  /// reply.
   struct Holder {
     Impl* server;
     ExchangePointer exchange;
@@ -71,13 +72,13 @@
   void Watch(MHD_Connection* connection, RequestId id);
   void Unwatch(MHD_Connection* connection) const;
   void RunWatcher();
-  void CallerLeft(RequestId id);
+  void HandleDisconnect(RequestId id);
 
   EventSink sink;
   MHD_Daemon* daemon = nullptr;
   std::atomic<std::uint64_t> last_id{0};
   std::atomic<bool> stopping{false};
-  std::vector<ExchangePointer> touched;
+  std::vector<ExchangePointer> changed;
   int watch_epoll = -1;
   int watch_wake = -1;
   std::thread watcher;
@@ -93,7 +94,7 @@
   this->watch_wake = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
   epoll_event wake{};
   wake.events = EPOLLIN;
-  wake.data.u64 = kWakeWatcher;
+  wake.data.u64 = kWakeupId;
   epoll_ctl(this->watch_epoll, EPOLL_CTL_ADD, this->watch_wake, &wake);
   unsigned flags =
       MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME | MHD_USE_ITC;
@@ -164,10 +165,10 @@
   return found == this->exchanges.end() ? nullptr : found->second;
 }
 
-void HttpServer::Impl::Touch(const ExchangePointer& exchange) {
-  if (exchange->Touch()) {
+void HttpServer::Impl::MarkChanged(const ExchangePointer& exchange) {
+  if (exchange->MarkChanged()) {
     const std::lock_guard<std::mutex> lock(this->mutex);
-    this->touched.push_back(exchange);
+    this->changed.push_back(exchange);
   }
 }
 
@@ -175,7 +176,7 @@
   std::vector<ExchangePointer> ready;
   {
     const std::lock_guard<std::mutex> lock(this->mutex);
-    ready.swap(this->touched);
+    ready.swap(this->changed);
   }
   for (const ExchangePointer& exchange : ready) {
     exchange->Resume();
@@ -205,10 +206,10 @@
     return MHD_YES;
   }
   if (*upload_size > 0) {
-    const bool go_on = exchange->AddBody(upload, *upload_size,
-                                         server->settings.max_body_bytes);
+    const bool accepted = exchange->AppendBody(upload, *upload_size,
+                                               server->settings.max_body_bytes);
     *upload_size = 0;
-    return go_on ? MHD_YES : MHD_NO;
+    return accepted ? MHD_YES : MHD_NO;
   }
   if (!exchange->HandedOver()) {
     return server->HandOver(connection, exchange);
@@ -218,7 +219,7 @@
 
 MHD_Result HttpServer::Impl::HandOver(MHD_Connection* connection,
                                       const ExchangePointer& exchange) {
-  if (exchange->TooLarge()) {
+  if (exchange->BodyTooLarge()) {
     ++this->too_large;
   }
   ++this->requests;
@@ -229,8 +230,8 @@
   CallerRequest request;
   exchange->HandOver(&request);
   this->Watch(connection, exchange->Id());
-  if (this->stopping) {  // Stop may have looked for open exchanges before this
-                         // one was there
+  if (this->stopping) {  // Stop may have collected the open exchanges before
+                         // this one was added
     exchange->Cut();
     exchange->Resume();
     return MHD_YES;
@@ -247,10 +248,10 @@
   MHD_Response* const response = exchange->MakeResponse(
       &status, &Impl::OnRead, holder.get(), &Impl::FreeHolder, &used_reader);
   if (response == nullptr) {
-    return exchange->WaitOrCut() ? MHD_NO : MHD_YES;
+    return exchange->SuspendUnlessCut() ? MHD_NO : MHD_YES;
   }
   if (used_reader) {
-    static_cast<void>(holder.release());  // FreeHolder ends it
+    static_cast<void>(holder.release());  // FreeHolder deletes it
   }
   const MHD_Result result =
       MHD_queue_response(connection, static_cast<unsigned>(status), response);
@@ -260,17 +261,17 @@
 
 ssize_t HttpServer::Impl::OnRead(void* holder, std::uint64_t /*position*/,
                                  char* to, std::size_t max) {
-  const auto* const kept = static_cast<Holder*>(holder);
-  std::size_t taken = 0;
+  const auto* const reader = static_cast<Holder*>(holder);
+  std::size_t copied = 0;
   CallerBufferDrained drained;
-  const ReadResult result =
-      kept->exchange->Read(to, max, HttpServer::kDrainStep, &taken, &drained);
+  const ReadResult result = reader->exchange->Read(
+      to, max, HttpServer::kDrainStep, &copied, &drained);
   if (drained.id.value != 0) {
-    kept->server->sink(drained);
+    reader->server->sink(drained);
   }
   switch (result) {
     case ReadResult::kBytes:
-      return static_cast<ssize_t>(taken);
+      return static_cast<ssize_t>(copied);
     case ReadResult::kSuspended:
       return 0;
     case ReadResult::kEnd:
@@ -312,25 +313,25 @@
   epoll_ctl(this->watch_epoll, EPOLL_CTL_DEL, SocketOf(connection), nullptr);
 }
 
-// libmicrohttpd does not look at a suspended connection, so a caller's leaving
-// is watched for beside it.
+// Detects disconnects with a separate epoll instance, since libmicrohttpd does
+// not poll suspended connections.
 void HttpServer::Impl::RunWatcher() {
-  std::array<epoll_event, kWatcherBatch> events{};
+  std::array<epoll_event, kMaxWatcherEvents> events{};
   while (!this->stopping) {
     const int count =
-        epoll_wait(this->watch_epoll, events.data(), kWatcherBatch, -1);
+        epoll_wait(this->watch_epoll, events.data(), kMaxWatcherEvents, -1);
     for (int i = 0; i < count; ++i) {
       const RequestId id{events.at(static_cast<std::size_t>(i)).data.u64};
-      if (id.value != kWakeWatcher) {
-        this->CallerLeft(id);
+      if (id.value != kWakeupId) {
+        this->HandleDisconnect(id);
       }
     }
   }
 }
 
-void HttpServer::Impl::CallerLeft(RequestId id) {
+void HttpServer::Impl::HandleDisconnect(RequestId id) {
   const ExchangePointer exchange = this->Find(id);
-  if (exchange == nullptr || !exchange->SetGone()) {
+  if (exchange == nullptr || !exchange->SetDisconnected()) {
     return;
   }
   exchange->Resume();
@@ -350,7 +351,7 @@
 void HttpServer::Execute(const ReplyHead& head) {
   if (const ExchangePointer exchange = this->impl->Find(head.id)) {
     exchange->SetHead(head);
-    this->impl->Touch(exchange);
+    this->impl->MarkChanged(exchange);
   }
 }
 
@@ -359,17 +360,17 @@
   if (exchange == nullptr) {
     return;
   }
-  if (!exchange->AddReply(std::move(body.bytes),
-                          this->impl->settings.max_buffered_bytes)) {
+  if (!exchange->AppendReply(std::move(body.bytes),
+                             this->impl->settings.max_buffered_bytes)) {
     ++this->impl->overflowed;
   }
-  this->impl->Touch(exchange);
+  this->impl->MarkChanged(exchange);
 }
 
 void HttpServer::Execute(const ReplyEnd& end) {
   if (const ExchangePointer exchange = this->impl->Find(end.id)) {
     exchange->End(end.abort);
-    this->impl->Touch(exchange);
+    this->impl->MarkChanged(exchange);
   }
 }
 
--- a/src/adapters/peer_links.cc
+++ b/src/adapters/peer_links.cc
@@ -1,4 +1,4 @@
-// The one translation unit that compiles websocketpp.
+// The only translation unit that compiles websocketpp.
 #include <algorithm>
 #include <atomic>
 #include <boost/asio.hpp>
@@ -24,13 +24,13 @@
 using Server = websocketpp::server<websocketpp::config::asio>;
 using Client = websocketpp::client<websocketpp::config::asio_client>;
 using Clock = std::chrono::steady_clock;
-using ErrorCodeOfLibrary = websocketpp::lib::error_code;
+using WebSocketError = websocketpp::lib::error_code;
 
 constexpr std::size_t kMaxHandshakeBytes = 2048;
-constexpr std::size_t kMaxUnsentOrders = 8192;
+constexpr std::size_t kMaxQueuedSends = 8192;
 constexpr std::chrono::milliseconds kSweepInterval{250};
 
-std::string FreshNonce() {
+std::string GenerateNonce() {
   constexpr int kWords = 4;
   std::random_device device;
   std::string text;
@@ -40,20 +40,20 @@
   return text;
 }
 
-/// One link; the hooks hide whether the library's server or client end carries
-/// it.
+/// One link; the functions hide whether it uses a server or a client connection
+/// of websocketpp.
 struct Link {
   Link(Handshake handshake, bool connecting)
       : handshake(std::move(handshake)), connecting(connecting) {}
 
   Handshake handshake;
-  bool connecting;  ///< this side opened it
+  bool connecting;  ///< this side opened the link
   bool sent_challenge = false;
   bool authenticated = false;
   bool closed = false;
   std::deque<std::string> queue;
-  Clock::time_point begun = Clock::now();
-  Clock::time_point last_use = Clock::now();
+  Clock::time_point started = Clock::now();
+  Clock::time_point last_activity = Clock::now();
   std::function<bool(const std::string&)> send;
   std::function<void()> close;
   std::function<std::size_t()> buffered;
@@ -84,17 +84,17 @@
   void Bind(const LinkPointer& link, const Connection& connection);
   void SetUpServer();
   void SetUpClient();
-  void SendOrders();
-  void SendOrder(PeerSend order);
-  LinkPointer Connect(const PeerSend& order);
-  void Queue(Link* link, std::string frame);
-  void Pump(Link* link);
+  void SendPending();
+  void SendFrame(PeerSend send);
+  LinkPointer Connect(const PeerSend& send);
+  void Enqueue(Link* link, std::string frame);
+  void SendQueued(Link* link);
   void OnMessage(const LinkPointer& link, const std::string& bytes,
                  bool binary);
-  void TakeHandshake(const LinkPointer& link, const std::string& bytes);
-  void Authenticated(const LinkPointer& link);
-  void Refuse(const LinkPointer& link, std::uint64_t PeerLinksCounts::*counter);
-  void Closed(const LinkPointer& link);
+  void HandleHandshake(const LinkPointer& link, const std::string& bytes);
+  void OnAuthenticated(const LinkPointer& link);
+  void Reject(const LinkPointer& link, std::uint64_t PeerLinksCounts::*counter);
+  void OnClosed(const LinkPointer& link);
   void Sweep();
   void SweepLink(const LinkPointer& link, Clock::time_point now);
   void Add(std::uint64_t PeerLinksCounts::*counter, std::uint64_t amount = 1);
@@ -107,13 +107,13 @@
   Client client;
   std::thread thread;
   std::atomic<std::uint16_t> port{0};
-  mutable std::mutex mutex;  ///< guards orders and counts
-  std::deque<PeerSend> orders;
+  mutable std::mutex mutex;  ///< guards pending and counts
+  std::deque<PeerSend> pending;
   PeerLinksCounts counts;
-  // Of the thread:
+  // Used only by the thread:
   std::set<LinkPointer> links;
   std::map<HostId, LinkPointer> by_host;
-  std::map<HostId, Clock::time_point> held_until;
+  std::map<HostId, Clock::time_point> retry_at;
 };
 
 void PeerLinks::Impl::Add(std::uint64_t PeerLinksCounts::*counter,
@@ -133,7 +133,7 @@
   };
   link->close = [weak] {
     if (const auto strong = weak.lock()) {
-      ErrorCodeOfLibrary ignored;
+      WebSocketError ignored;
       strong->close(websocketpp::close::status::policy_violation, "", ignored);
     }
   };
@@ -146,10 +146,10 @@
       strong->set_max_message_size(bytes);
     }
   };
-  const auto limit =
+  const auto timeout =
       static_cast<long>(this->settings.handshake_timeout.count());  // NOLINT
-  connection->set_open_handshake_timeout(limit);
-  connection->set_close_handshake_timeout(limit);
+  connection->set_open_handshake_timeout(timeout);
+  connection->set_close_handshake_timeout(timeout);
   connection->set_max_message_size(kMaxHandshakeBytes);
   connection->set_message_handler(
       [this, link](websocketpp::connection_hdl, const auto& message) {
@@ -157,12 +157,12 @@
             link, message->get_payload(),
             message->get_opcode() == websocketpp::frame::opcode::binary);
       });
-  // The handler holds the link and the link only weakly the connection: no
-  // cycle.
+  // The handlers own the link, and the link holds only a weak pointer to the
+  // connection, so that there is no ownership cycle.
   connection->set_close_handler(
-      [this, link](websocketpp::connection_hdl) { this->Closed(link); });
+      [this, link](websocketpp::connection_hdl) { this->OnClosed(link); });
   connection->set_fail_handler(
-      [this, link](websocketpp::connection_hdl) { this->Closed(link); });
+      [this, link](websocketpp::connection_hdl) { this->OnClosed(link); });
 }
 
 void PeerLinks::Impl::SetUpServer() {
@@ -172,7 +172,7 @@
   this->server.set_reuse_addr(true);
   this->server.set_max_http_body_size(0);
   this->server.set_validate_handler([this](websocketpp::connection_hdl handle) {
-    ErrorCodeOfLibrary error;
+    WebSocketError error;
     const Server::connection_ptr connection =
         this->server.get_con_from_hdl(handle, error);
     if (error || this->links.size() >= this->settings.max_links) {
@@ -180,7 +180,7 @@
       return false;
     }
     const auto link = std::make_shared<Link>(
-        Handshake(this->settings.secret, this->settings.self, FreshNonce()),
+        Handshake(this->settings.secret, this->settings.self, GenerateNonce()),
         false);
     this->links.insert(link);
     this->Bind(link, connection);
@@ -205,12 +205,13 @@
   host.erase(std::remove_if(host.begin(), host.end(),
                             [](char c) { return c == '[' || c == ']'; }),
              host.end());
-  const auto wanted = static_cast<std::uint16_t>(
+  const auto port_number = static_cast<std::uint16_t>(
       std::stoul(this->settings.listen.substr(colon + 1)));
   this->SetUpServer();
   this->SetUpClient();
-  ErrorCodeOfLibrary error;
-  this->server.listen({boost::asio::ip::make_address(host), wanted}, error);
+  WebSocketError error;
+  this->server.listen({boost::asio::ip::make_address(host), port_number},
+                      error);
   if (!error) {
     this->server.start_accept(error);
   }
@@ -240,74 +241,74 @@
   bool wake = false;
   {
     const std::lock_guard<std::mutex> lock(this->mutex);
-    wake = this->orders.empty();
-    if (this->orders.size() >= kMaxUnsentOrders) {
-      this->orders.pop_front();
+    wake = this->pending.empty();
+    if (this->pending.size() >= kMaxQueuedSends) {
+      this->pending.pop_front();
       ++this->counts.frames_dropped;
     }
-    this->orders.push_back(std::move(send));
+    this->pending.push_back(std::move(send));
   }
   if (wake) {
-    boost::asio::post(this->io, [this] { this->SendOrders(); });
+    boost::asio::post(this->io, [this] { this->SendPending(); });
   }
 }
 
-void PeerLinks::Impl::SendOrders() {
+void PeerLinks::Impl::SendPending() {
   std::deque<PeerSend> batch;
   {
     const std::lock_guard<std::mutex> lock(this->mutex);
-    batch.swap(this->orders);
+    batch.swap(this->pending);
   }
-  for (PeerSend& order : batch) {
-    this->SendOrder(std::move(order));
+  for (PeerSend& send : batch) {
+    this->SendFrame(std::move(send));
   }
 }
 
-void PeerLinks::Impl::SendOrder(PeerSend order) {
-  const auto known = this->by_host.find(order.to);
+void PeerLinks::Impl::SendFrame(PeerSend send) {
+  const auto found = this->by_host.find(send.to);
   const LinkPointer link =
-      known != this->by_host.end() ? known->second : this->Connect(order);
+      found != this->by_host.end() ? found->second : this->Connect(send);
   if (link == nullptr) {
     this->Add(&PeerLinksCounts::frames_dropped);
     return;
   }
-  this->Queue(link.get(), std::move(order.bytes));
-  this->Pump(link.get());
+  this->Enqueue(link.get(), std::move(send.bytes));
+  this->SendQueued(link.get());
 }
 
-LinkPointer PeerLinks::Impl::Connect(const PeerSend& order) {
-  const auto held = this->held_until.find(order.to);
-  if (held != this->held_until.end() && Clock::now() < held->second) {
+LinkPointer PeerLinks::Impl::Connect(const PeerSend& send) {
+  const auto retry = this->retry_at.find(send.to);
+  if (retry != this->retry_at.end() && Clock::now() < retry->second) {
     return nullptr;
   }
-  if (order.to == this->settings.self ||
+  if (send.to == this->settings.self ||
       this->links.size() >= this->settings.max_links ||
-      !ParseSocketAddress(order.address).ok()) {
+      !ParseSocketAddress(send.address).ok()) {
     return nullptr;
   }
-  ErrorCodeOfLibrary error;
+  WebSocketError error;
   const Client::connection_ptr connection =
-      this->client.get_connection("ws://" + order.address + "/", error);
+      this->client.get_connection("ws://" + send.address + "/", error);
   if (error) {
     return nullptr;
   }
   auto link = std::make_shared<Link>(
-      Handshake(this->settings.secret, this->settings.self, FreshNonce()),
+      Handshake(this->settings.secret, this->settings.self, GenerateNonce()),
       true);
   this->Bind(link, connection);
-  const HostId peer = order.to;
+  const HostId peer = send.to;
   connection->set_open_handler([link, peer](websocketpp::connection_hdl) {
     link->send(link->handshake.Hello(peer));
   });
   link->handshake.Hello(
-      peer);  // names the peer, also for a link that never opens
+      peer);  // records the peer, also for a link that never opens
   this->links.insert(link);
-  this->by_host[order.to] = link;
+  this->by_host[send.to] = link;
   this->client.connect(connection);
   return link;
 }
 
-void PeerLinks::Impl::Queue(Link* link, std::string frame) {
+void PeerLinks::Impl::Enqueue(Link* link, std::string frame) {
   if (link->queue.size() >= this->settings.max_queued_frames) {
     link->queue.pop_front();
     this->Add(&PeerLinksCounts::frames_dropped);
@@ -315,7 +316,7 @@
   link->queue.push_back(std::move(frame));
 }
 
-void PeerLinks::Impl::Pump(Link* link) {
+void PeerLinks::Impl::SendQueued(Link* link) {
   while (link->authenticated && !link->queue.empty() &&
          link->buffered() < this->settings.max_buffered_bytes) {
     const std::string frame = std::move(link->queue.front());
@@ -324,7 +325,7 @@
       this->Add(&PeerLinksCounts::frames_dropped);
       continue;
     }
-    link->last_use = Clock::now();
+    link->last_activity = Clock::now();
     this->Add(&PeerLinksCounts::frames_sent);
     this->Add(&PeerLinksCounts::bytes_sent, frame.size());
   }
@@ -336,63 +337,64 @@
     return;
   }
   if (!binary) {
-    this->Refuse(link, &PeerLinksCounts::malformed_rejected);
+    this->Reject(link, &PeerLinksCounts::malformed_rejected);
     return;
   }
   if (!link->authenticated) {
-    this->TakeHandshake(link, bytes);
+    this->HandleHandshake(link, bytes);
     return;
   }
-  link->last_use = Clock::now();
+  link->last_activity = Clock::now();
   this->Add(&PeerLinksCounts::frames_received);
   this->Add(&PeerLinksCounts::bytes_received, bytes.size());
   this->sink(PeerFrame{link->handshake.Peer(), bytes});
 }
 
-void PeerLinks::Impl::TakeHandshake(const LinkPointer& link,
-                                    const std::string& bytes) {
-  std::optional<std::string> answer;
+void PeerLinks::Impl::HandleHandshake(const LinkPointer& link,
+                                      const std::string& bytes) {
+  std::optional<std::string> response;
   if (link->connecting) {
-    answer = link->handshake.Prove(bytes);
+    response = link->handshake.Prove(bytes);
   } else if (!link->sent_challenge) {
-    answer = link->handshake.Challenge(bytes);
-    link->sent_challenge = answer.has_value();
+    response = link->handshake.Challenge(bytes);
+    link->sent_challenge = response.has_value();
   } else if (link->handshake.Accept(bytes)) {
-    this->Authenticated(link);
+    this->OnAuthenticated(link);
     return;
   }
-  if (!answer.has_value()) {
-    this->Refuse(link, &PeerLinksCounts::unauthenticated_rejected);
+  if (!response.has_value()) {
+    this->Reject(link, &PeerLinksCounts::unauthenticated_rejected);
     return;
   }
-  link->send(*answer);
+  link->send(*response);
   if (link->connecting) {
-    this->Authenticated(link);
+    this->OnAuthenticated(link);
   }
 }
 
-void PeerLinks::Impl::Authenticated(const LinkPointer& link) {
+void PeerLinks::Impl::OnAuthenticated(const LinkPointer& link) {
   link->authenticated = true;
-  link->last_use = Clock::now();
+  link->last_activity = Clock::now();
   link->set_max_message(this->settings.max_frame_bytes);
   this->Add(&PeerLinksCounts::opened);
   this->Add(&PeerLinksCounts::open);
-  // A link that this side opened stays the one to send on; else the newest is.
-  LinkPointer& used = this->by_host[link->handshake.Peer()];
-  if (used == nullptr || used->closed || !used->connecting) {
-    used = link;
+  // Frames are sent on a link that this side opened, or else on the newest
+  // link.
+  LinkPointer& preferred = this->by_host[link->handshake.Peer()];
+  if (preferred == nullptr || preferred->closed || !preferred->connecting) {
+    preferred = link;
   }
-  this->Pump(link.get());
+  this->SendQueued(link.get());
 }
 
-void PeerLinks::Impl::Refuse(const LinkPointer& link,
+void PeerLinks::Impl::Reject(const LinkPointer& link,
                              std::uint64_t PeerLinksCounts::*counter) {
   this->Add(counter);
   link->close();
-  this->Closed(link);
+  this->OnClosed(link);
 }
 
-void PeerLinks::Impl::Closed(const LinkPointer& link) {
+void PeerLinks::Impl::OnClosed(const LinkPointer& link) {
   if (link->closed) {
     return;
   }
@@ -400,15 +402,15 @@
   this->links.erase(link);
   this->Add(&PeerLinksCounts::frames_dropped, link->queue.size());
   link->queue.clear();
-  const auto used = this->by_host.find(link->handshake.Peer());
-  if (used != this->by_host.end() && used->second == link) {
-    this->by_host.erase(used);
+  const auto preferred = this->by_host.find(link->handshake.Peer());
+  if (preferred != this->by_host.end() && preferred->second == link) {
+    this->by_host.erase(preferred);
   }
   if (link->authenticated) {
     const std::lock_guard<std::mutex> lock(this->mutex);
     --this->counts.open;
   } else if (link->connecting) {
-    this->held_until[link->handshake.Peer()] =
+    this->retry_at[link->handshake.Peer()] =
         Clock::now() + this->settings.retry_delay;
   }
 }
@@ -416,19 +418,20 @@
 void PeerLinks::Impl::SweepLink(const LinkPointer& link,
                                 Clock::time_point now) {
   if (!link->authenticated) {
-    if (now - link->begun > this->settings.handshake_timeout) {
-      this->Refuse(link, &PeerLinksCounts::unauthenticated_rejected);
+    if (now - link->started > this->settings.handshake_timeout) {
+      this->Reject(link, &PeerLinksCounts::unauthenticated_rejected);
     }
     return;
   }
-  this->Pump(link.get());
-  // A link that takes nothing any more is as good as cut: its peer is frozen or
-  // unreachable.
-  const bool stuck = link->buffered() > 0 &&
-                     now - link->last_use > this->settings.handshake_timeout;
-  if (stuck || now - link->last_use > this->settings.idle_timeout) {
+  this->SendQueued(link.get());
+  // A link that accepts no more bytes counts as broken: its peer is
+  // unresponsive or unreachable.
+  const bool stuck =
+      link->buffered() > 0 &&
+      now - link->last_activity > this->settings.handshake_timeout;
+  if (stuck || now - link->last_activity > this->settings.idle_timeout) {
     link->close();
-    this->Closed(link);
+    this->OnClosed(link);
   }
 }
 
@@ -438,8 +441,9 @@
   for (const LinkPointer& link : all) {
     this->SweepLink(link, now);
   }
-  for (auto held = this->held_until.begin(); held != this->held_until.end();) {
-    held = held->second <= now ? this->held_until.erase(held) : std::next(held);
+  for (auto retry = this->retry_at.begin(); retry != this->retry_at.end();) {
+    retry =
+        retry->second <= now ? this->retry_at.erase(retry) : std::next(retry);
   }
   this->sweep.expires_after(kSweepInterval);
   this->sweep.async_wait([this](const boost::system::error_code& error) {
--- a/src/adapters/tests/core_loop_test.cc
+++ b/src/adapters/tests/core_loop_test.cc
@@ -3,7 +3,8 @@
 namespace limpetlink::testing {
 namespace {
 
-/// Answers each request with its own body; drains once no request is open.
+/// Replies to each request with the request's body; holds requests for /hold
+/// until it drains.
 class EchoCore {
  public:
   Actions Start(Instant /*now*/) { return {}; }
@@ -14,13 +15,13 @@
       return {};
     }
     if (request->path == "/hold" && this->draining) {
-      return Answer(request->id, "released");
+      return Reply(request->id, "released");
     }
     if (request->path == "/hold") {
       this->held.push_back(request->id);
       return {};
     }
-    return Answer(request->id, request->body);
+    return Reply(request->id, request->body);
   }
 
   Actions Tick(Instant now) {
@@ -33,7 +34,7 @@
     this->draining = true;
     Actions all;
     for (const RequestId id : this->held) {
-      for (Action& action : Answer(id, "released")) {
+      for (Action& action : Reply(id, "released")) {
         all.push_back(std::move(action));
       }
     }
@@ -46,7 +47,7 @@
   std::uint64_t ticks = 0;
 
  private:
-  static Actions Answer(RequestId id, const std::string& body) {
+  static Actions Reply(RequestId id, const std::string& body) {
     return {ReplyHead{id, 200, {}}, ReplyBody{id, body}, ReplyEnd{id, false}};
   }
 
@@ -104,8 +105,8 @@
   CoreLoop loop{HooksOf(&this->core)};
   HttpServerSettings settings{"127.0.0.1:0"};
   HttpServer server{this->settings, this->loop.Sink()};
-  Recorder answers;
-  HttpClient client{HttpClientSettings{}, this->answers.Sink()};
+  Recorder responses;
+  HttpClient client{HttpClientSettings{}, this->responses.Sink()};
   std::thread thread;
 };
 
@@ -113,35 +114,35 @@
 
 TEST_CASE_METHOD(
     LoopFixture,
-    "core loop, many crossing requests, each gets its own answer") {
+    "core loop, many concurrent requests, each gets its own reply") {
   constexpr std::uint64_t kCalls = 200;
   for (std::uint64_t id = 1; id <= kCalls; ++id) {
     this->Call(id, "/echo", "body " + std::to_string(id));
   }
-  this->answers.Next<HttpDone>(kCalls - 1);
+  this->responses.Next<HttpDone>(kCalls - 1);
   for (std::uint64_t id = 1; id <= kCalls; ++id) {
-    CHECK(this->answers.BodyOf(CallId{id}) == "body " + std::to_string(id));
+    CHECK(this->responses.BodyOf(CallId{id}) == "body " + std::to_string(id));
   }
 }
 
 TEST_CASE_METHOD(
     LoopFixture,
-    "core loop, a drain with an open request, it ends after the reply") {
+    "core loop, a drain with an open request, it stops after the reply") {
   this->Call(1, "/hold", "");
   while (this->server.Counts().requests == 0) {
     std::this_thread::yield();
   }
   this->loop.RequestDrain();
   this->Join();
-  CHECK(this->answers.Next<HttpDone>().end == HttpEnd::kComplete);
-  CHECK(this->answers.BodyOf(CallId{1}) == "released");
+  CHECK(this->responses.Next<HttpDone>().end == HttpEnd::kComplete);
+  CHECK(this->responses.BodyOf(CallId{1}) == "released");
 }
 
 TEST_CASE_METHOD(
     LoopFixture,
     "core loop, a wakeup is due, the core is ticked without events") {
   this->Call(1, "/echo", "");
-  this->answers.Next<HttpDone>();
+  this->responses.Next<HttpDone>();
   this->loop.RequestDrain();
   this->Join();
   CHECK(this->core.ticks > 0);
--- a/src/adapters/tests/http_test.cc
+++ b/src/adapters/tests/http_test.cc
@@ -18,7 +18,7 @@
     return "http://127.0.0.1:" + std::to_string(this->server->Port()) + path;
   }
 
-  void Answer(RequestId id, const std::string& body) {
+  void Reply(RequestId id, const std::string& body) {
     this->server->Execute(ReplyHead{id, 200, {{"X-Test", "yes"}}});
     this->server->Execute(ReplyBody{id, body});
     this->server->Execute(ReplyEnd{id});
@@ -44,14 +44,15 @@
     this->client.Flush();
   }
 
-  Recorder answers;
-  HttpClient client{HttpClientSettings{}, this->answers.Sink()};
+  Recorder responses;
+  HttpClient client{HttpClientSettings{}, this->responses.Sink()};
 };
 
 }  // namespace
 
-TEST_CASE_METHOD(ClientFixture,
-                 "http, a post with a body, request and whole reply arrive") {
+TEST_CASE_METHOD(
+    ClientFixture,
+    "http, a post with a body, request and complete reply arrive") {
   this->Call(1, "POST", this->Url("/v1/a%2Fb?x=%20y"), "hello");
   const CallerRequest request = this->events.Next<CallerRequest>();
   CHECK(request.method == "POST");
@@ -59,37 +60,38 @@
   CHECK(request.query == "x=%20y");
   CHECK(request.body == "hello");
   CHECK_FALSE(request.body_too_large);
-  this->Answer(request.id, "world");
-  const HttpHead head = this->answers.Next<HttpHead>();
+  this->Reply(request.id, "world");
+  const HttpHead head = this->responses.Next<HttpHead>();
   CHECK(head.status == 200);
   REQUIRE(FindHeader(head.headers, "x-test") != nullptr);
-  CHECK(this->answers.Next<HttpDone>().end == HttpEnd::kComplete);
-  CHECK(this->answers.BodyOf(CallId{1}) == "world");
+  CHECK(this->responses.Next<HttpDone>().end == HttpEnd::kComplete);
+  CHECK(this->responses.BodyOf(CallId{1}) == "world");
 }
 
 TEST_CASE_METHOD(ClientFixture,
-                 "http, a body over the bound, it is dropped and said so") {
+                 "http, a body over the limit, it is dropped and reported") {
   this->Call(1, "POST", this->Url("/"), std::string(100000, 'x'));
   const CallerRequest request = this->events.Next<CallerRequest>();
   CHECK(request.body_too_large);
   CHECK(request.body.empty());
-  this->Answer(request.id, "no");
-  CHECK(this->answers.Next<HttpDone>().end == HttpEnd::kComplete);
+  this->Reply(request.id, "no");
+  CHECK(this->responses.Next<HttpDone>().end == HttpEnd::kComplete);
   CHECK(this->server->Counts().too_large == 1);
 }
 
-TEST_CASE_METHOD(ClientFixture,
-                 "http, a reply in many parts, it arrives whole and in order") {
+TEST_CASE_METHOD(
+    ClientFixture,
+    "http, a reply in many parts, it arrives complete and in order") {
   this->Call(1, "GET", this->Url("/stream"));
   const RequestId id = this->events.Next<CallerRequest>().id;
   this->server->Execute(
       ReplyHead{id, 200, {{"Content-Type", "text/event-stream"}}});
   this->server->Flush();
-  CHECK(this->answers.Next<HttpHead>().status == 200);
-  std::string wanted;
+  CHECK(this->responses.Next<HttpHead>().status == 200);
+  std::string expected;
   for (int part = 0; part < 500; ++part) {
     const std::string bytes = "part " + std::to_string(part) + "\n";
-    wanted += bytes;
+    expected += bytes;
     this->server->Execute(ReplyBody{id, bytes});
     if (part % 7 == 0) {
       this->server->Flush();
@@ -97,36 +99,37 @@
   }
   this->server->Execute(ReplyEnd{id});
   this->server->Flush();
-  CHECK(this->answers.Next<HttpDone>().end == HttpEnd::kComplete);
-  CHECK(this->answers.BodyOf(CallId{1}) == wanted);
+  CHECK(this->responses.Next<HttpDone>().end == HttpEnd::kComplete);
+  CHECK(this->responses.BodyOf(CallId{1}) == expected);
 }
 
 TEST_CASE_METHOD(
     ClientFixture,
-    "http, an aborted reply, the caller sees that it is not whole") {
+    "http, an aborted reply, the caller sees that it is incomplete") {
   this->Call(1, "GET", this->Url("/"));
   const RequestId id = this->events.Next<CallerRequest>().id;
   this->server->Execute(ReplyHead{id, 200, {}});
-  this->server->Execute(ReplyBody{id, "begun"});
+  this->server->Execute(ReplyBody{id, "partial"});
   this->server->Execute(ReplyEnd{id, true});
   this->server->Flush();
-  CHECK(this->answers.Next<HttpDone>().end == HttpEnd::kCut);
+  CHECK(this->responses.Next<HttpDone>().end == HttpEnd::kCut);
 }
 
 TEST_CASE_METHOD(
     ServerFixture,
-    "http, a caller leaves while it waits, the core is told once") {
+    "http, a caller disconnects while it waits, the core is notified once") {
   const int caller = ConnectTo(this->server->Port());
   SendAll(caller, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n");
   const RequestId id = this->events.Next<CallerRequest>().id;
   close(caller);
   CHECK(this->events.Next<CallerDisconnected>().id == id);
-  this->Answer(id, "late");
+  this->Reply(id, "late");
   CHECK(this->server->Counts().disconnected == 1);
 }
 
-TEST_CASE_METHOD(ServerFixture,
-                 "http, a caller that reads, the core is told what is taken") {
+TEST_CASE_METHOD(
+    ServerFixture,
+    "http, a caller that reads, the core is notified of sent bytes") {
   const int caller = ConnectTo(this->server->Port());
   SendAll(caller, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
   const RequestId id = this->events.Next<CallerRequest>().id;
@@ -140,7 +143,7 @@
 
 TEST_CASE_METHOD(
     ServerFixture,
-    "http, a caller that does not read, its buffer stays bounded") {
+    "http, a caller that does not read, its buffer stays limited") {
   const int caller = ConnectTo(this->server->Port());
   SendAll(caller, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
   const RequestId id = this->events.Next<CallerRequest>().id;
@@ -154,8 +157,9 @@
   close(caller);
 }
 
-TEST_CASE_METHOD(ServerFixture,
-                 "http, the server stops with waiting callers, it ends") {
+TEST_CASE_METHOD(
+    ServerFixture,
+    "http, the server stops with waiting callers, they are closed") {
   const int caller = ConnectTo(this->server->Port());
   SendAll(caller, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
   this->events.Next<CallerRequest>();
@@ -168,74 +172,74 @@
   Listener listener;
   const std::string url = listener.Url("/");
   listener.Close();
-  this->Call(1, "POST", url, "order");
-  CHECK(this->answers.Next<HttpDone>().end == HttpEnd::kNotConnected);
+  this->Call(1, "POST", url, "payload");
+  CHECK(this->responses.Next<HttpDone>().end == HttpEnd::kNotConnected);
 }
 
 TEST_CASE_METHOD(ClientFixture,
-                 "a call, the upstream closes after accepting, it is cut") {
+                 "a call, the upstream closes after reading it, it is cut") {
   const Listener listener;
-  this->Call(1, "POST", listener.Url("/"), "order");
+  this->Call(1, "POST", listener.Url("/"), "payload");
   const int upstream = listener.Accept();
-  ReadUntil(upstream, "order");
+  ReadUntil(upstream, "payload");
   close(upstream);
-  CHECK(this->answers.Next<HttpDone>().end == HttpEnd::kCut);
+  CHECK(this->responses.Next<HttpDone>().end == HttpEnd::kCut);
 }
 
 TEST_CASE_METHOD(ClientFixture,
-                 "a call, the upstream accepts and closes unread, it is cut") {
+                 "a call, the upstream closes without reading, it is cut") {
   const Listener listener;
-  this->Call(1, "POST", listener.Url("/"), "order");
+  this->Call(1, "POST", listener.Url("/"), "payload");
   close(listener.Accept());
-  CHECK(this->answers.Next<HttpDone>().end == HttpEnd::kCut);
+  CHECK(this->responses.Next<HttpDone>().end == HttpEnd::kCut);
 }
 
-TEST_CASE_METHOD(ClientFixture, "a call, the answer ends short, it is cut") {
+TEST_CASE_METHOD(ClientFixture,
+                 "a call, the response is truncated, it is cut") {
   const Listener listener;
   this->Call(1, "GET", listener.Url("/"));
   const int upstream = listener.Accept();
   ReadUntil(upstream, "\r\n\r\n");
   SendAll(upstream, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort");
   close(upstream);
-  CHECK(this->answers.Next<HttpDone>().end == HttpEnd::kCut);
-  CHECK(this->answers.BodyOf(CallId{1}) == "short");
+  CHECK(this->responses.Next<HttpDone>().end == HttpEnd::kCut);
+  CHECK(this->responses.BodyOf(CallId{1}) == "short");
 }
 
 TEST_CASE_METHOD(ClientFixture,
-                 "a call, a kept connection breaks, nothing is sent twice") {
+                 "a call, an idle connection breaks, nothing is sent twice") {
   const Listener listener;
   this->Call(1, "GET", listener.Url("/first"));
   const int upstream = listener.Accept();
   ReadUntil(upstream, "\r\n\r\n");
   SendAll(upstream, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  CHECK(this->answers.Next<HttpDone>(0).end == HttpEnd::kComplete);
+  CHECK(this->responses.Next<HttpDone>(0).end == HttpEnd::kComplete);
   this->Call(2, "GET", listener.Url("/second"));
   CHECK(ReadUntil(upstream, "\r\n\r\n").find("/second") != std::string::npos);
   close(upstream);
-  CHECK(this->answers.Next<HttpDone>(1).end == HttpEnd::kCut);
+  CHECK(this->responses.Next<HttpDone>(1).end == HttpEnd::kCut);
   CHECK(this->client.Counts().resends_blocked == 1);
 }
 
 TEST_CASE_METHOD(ClientFixture,
-                 "a call, not a read, a kept connection is not used for it") {
+                 "a call, a POST, it does not use an idle connection") {
   const Listener listener;
   this->Call(1, "GET", listener.Url("/first"));
   const int first = listener.Accept();
   ReadUntil(first, "\r\n\r\n");
   SendAll(first, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  CHECK(this->answers.Next<HttpDone>(0).end == HttpEnd::kComplete);
-  this->Call(2, "POST", listener.Url("/second"), "order");
+  CHECK(this->responses.Next<HttpDone>(0).end == HttpEnd::kComplete);
+  this->Call(2, "POST", listener.Url("/second"), "payload");
   const int second = listener.Accept();
-  CHECK(ReadUntil(second, "order").find("/second") != std::string::npos);
+  CHECK(ReadUntil(second, "payload").find("/second") != std::string::npos);
   SendAll(second, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  CHECK(this->answers.Next<HttpDone>(1).end == HttpEnd::kComplete);
+  CHECK(this->responses.Next<HttpDone>(1).end == HttpEnd::kComplete);
   close(first);
   close(second);
 }
 
-TEST_CASE_METHOD(
-    ClientFixture,
-    "a call, its time limit passes, the end says whether it was sent") {
+TEST_CASE_METHOD(ClientFixture,
+                 "a call, its total timeout expires, it ends as a timeout") {
   const Listener listener;
   HttpCall call;
   call.id = CallId{1};
@@ -244,15 +248,15 @@
   call.total_timeout = std::chrono::milliseconds(20);
   this->client.Execute(call);
   this->client.Flush();
-  CHECK(this->answers.Next<HttpDone>().end == HttpEnd::kTimeout);
+  CHECK(this->responses.Next<HttpDone>().end == HttpEnd::kTimeout);
 }
 
 TEST_CASE_METHOD(ClientFixture,
                  "a call, cancelled, the upstream sees the connection end") {
   const Listener listener;
-  this->Call(1, "POST", listener.Url("/"), "order");
+  this->Call(1, "POST", listener.Url("/"), "payload");
   const int upstream = listener.Accept();
-  ReadUntil(upstream, "order");
+  ReadUntil(upstream, "payload");
   this->client.Execute(HttpCancel{CallId{1}});
   this->client.Flush();
   CHECK(ReadUntil(upstream, "never").empty());
@@ -261,25 +265,25 @@
 }
 
 TEST_CASE_METHOD(ClientFixture,
-                 "a call, paused and gone on, the whole answer arrives") {
+                 "a call, paused and resumed, the complete response arrives") {
   const Listener listener;
   this->Call(1, "GET", listener.Url("/"));
   const int upstream = listener.Accept();
   ReadUntil(upstream, "\r\n\r\n");
   SendAll(upstream, "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n");
-  this->answers.Next<HttpHead>();
+  this->responses.Next<HttpHead>();
   this->client.Execute(HttpPause{CallId{1}, true});
   this->client.Flush();
   SendAll(upstream, "12345678");
   this->client.Execute(HttpPause{CallId{1}, false});
   this->client.Flush();
-  CHECK(this->answers.Next<HttpDone>().end == HttpEnd::kComplete);
-  CHECK(this->answers.BodyOf(CallId{1}) == "12345678");
+  CHECK(this->responses.Next<HttpDone>().end == HttpEnd::kComplete);
+  CHECK(this->responses.BodyOf(CallId{1}) == "12345678");
   close(upstream);
 }
 
 TEST_CASE_METHOD(ClientFixture,
-                 "a call, a header with a line break, the header is left out") {
+                 "a call, a header with a line break, the header is omitted") {
   HttpCall call;
   call.id = CallId{1};
   call.method = "GET";
--- a/src/adapters/tests/peer_links_test.cc
+++ b/src/adapters/tests/peer_links_test.cc
@@ -26,7 +26,7 @@
 
   template <typename Condition>
   static void WaitUntil(const Condition& condition) {
-    const auto end = std::chrono::steady_clock::now() + kPatience;
+    const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
     while (!condition() && std::chrono::steady_clock::now() < end) {
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
@@ -38,8 +38,9 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(LinksFixture,
-                 "peer links, equal secrets, frames pass both ways in order") {
+TEST_CASE_METHOD(
+    LinksFixture,
+    "peer links, equal secrets, frames arrive both ways in order") {
   const auto a = this->Open("a", "secret");
   const auto b = this->Open("b", "secret");
   for (int i = 0; i < 50; ++i) {
@@ -55,8 +56,9 @@
   CHECK(b->Counts().opened == 1);
 }
 
-TEST_CASE_METHOD(LinksFixture,
-                 "peer links, another secret, it is refused and counted") {
+TEST_CASE_METHOD(
+    LinksFixture,
+    "peer links, a wrong secret, the link is rejected and counted") {
   const auto a = this->Open("a", "wrong");
   const auto b = this->Open("b", "secret");
   a->Send(To("b", *b, "frame"));
@@ -65,8 +67,9 @@
   CHECK(a->Counts().frames_dropped == 1);
 }
 
-TEST_CASE_METHOD(LinksFixture,
-                 "peer links, another host at the address, it is refused") {
+TEST_CASE_METHOD(
+    LinksFixture,
+    "peer links, another host at the address, the link is rejected") {
   const auto a = this->Open("a", "secret");
   const auto b = this->Open("b", "secret");
   a->Send(To("c", *b, "frame"));
@@ -76,7 +79,7 @@
 
 TEST_CASE_METHOD(
     LinksFixture,
-    "peer links, an over-long frame, its link ends and others go on") {
+    "peer links, a frame over the limit, the link closes and reopens") {
   const auto a = this->Open("a", "secret");
   const auto b = this->Open("b", "secret");
   a->Send(To("b", *b, std::string(200'000, 'x')));
@@ -86,21 +89,22 @@
   CHECK(this->events["b"].Next<PeerFrame>().bytes == "small");
 }
 
-TEST_CASE_METHOD(LinksFixture,
-                 "peer links, bytes that are no WebSocket, the host goes on") {
+TEST_CASE_METHOD(
+    LinksFixture,
+    "peer links, bytes that are not HTTP, other links are unaffected") {
   const auto a = this->Open("a", "secret");
   const auto b = this->Open("b", "secret");
-  const int stranger = ConnectTo(b->Port());
-  SendAll(stranger, std::string(5000, '\xff') + "\r\n\r\n");
-  ReadUntil(stranger, "never");
-  close(stranger);
+  const int raw_client = ConnectTo(b->Port());
+  SendAll(raw_client, std::string(5000, '\xff') + "\r\n\r\n");
+  ReadUntil(raw_client, "never");
+  close(raw_client);
   a->Send(To("b", *b, "frame"));
   CHECK(this->events["b"].Next<PeerFrame>().bytes == "frame");
 }
 
 TEST_CASE_METHOD(
     LinksFixture,
-    "peer links, a peer restarted at its address, frames pass again") {
+    "peer links, a peer restarts at its address, frames arrive again") {
   const auto a = this->Open("a", "secret");
   auto b = this->Open("b", "secret");
   a->Send(To("b", *b, "first"));
@@ -119,7 +123,7 @@
   });
 }
 
-TEST_CASE("a handshake, a proof of another exchange, it is refused") {
+TEST_CASE("a handshake, a proof of another handshake, it is rejected") {
   Handshake connecting("secret", HostId{"a"}, "nonce-1");
   Handshake accepting("secret", HostId{"b"}, "nonce-2");
   const auto challenge = accepting.Challenge(connecting.Hello(HostId{"b"}));
--- a/src/adapters/tests/support.h
+++ b/src/adapters/tests/support.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief What the adapters' tests share: a recorder of events and a raw TCP
-/// peer.
+/// @brief Helpers of the adapters' tests: a recorder of events and raw TCP
+/// sockets.
 #pragma once
 
 #include <netinet/in.h>
@@ -20,10 +20,10 @@
 
 namespace limpetlink::testing {
 
-/// @brief Longest time that a condition is waited for before a test fails.
-inline constexpr std::chrono::seconds kPatience{60};
+/// @brief Maximum time to wait for a condition before the test fails.
+inline constexpr std::chrono::seconds kWaitTimeout{60};
 
-/// @brief Keeps events and lets a test wait for a condition on them.
+/// @brief Records events and waits for conditions on them.
 class Recorder {
  public:
   EventSink Sink() {
@@ -34,19 +34,20 @@
     };
   }
 
-  /// @brief Waits until the condition on all events so far holds.
+  /// @brief Waits until a condition on all events received so far holds.
+  /// @return whether it held before the timeout
   bool WaitFor(
       const std::function<bool(const std::vector<Event>&)>& condition) {
     std::unique_lock<std::mutex> lock(this->mutex);
-    return this->changed.wait_for(lock, kPatience,
+    return this->changed.wait_for(lock, kWaitTimeout,
                                   [&] { return condition(this->events); });
   }
 
-  /// @brief Waits for the nth event of a type and returns it.
+  /// @brief Waits for the nth event of a type, counted from 0, and returns it.
   template <typename Wanted>
   Wanted Next(std::size_t nth = 0) {
     Wanted found;
-    const bool came = this->WaitFor([&](const std::vector<Event>& all) {
+    const bool received = this->WaitFor([&](const std::vector<Event>& all) {
       std::size_t seen = 0;
       for (const Event& event : all) {
         const auto* const wanted = std::get_if<Wanted>(&event);
@@ -57,11 +58,11 @@
       }
       return false;
     });
-    REQUIRE(came);
+    REQUIRE(received);
     return found;
   }
 
-  /// @brief Joins the bytes of all chunks of a call.
+  /// @brief Concatenates the bytes of all chunks of a call.
   std::string BodyOf(CallId id) {
     const std::lock_guard<std::mutex> lock(this->mutex);
     std::string body;
@@ -140,7 +141,7 @@
   }
 }
 
-/// @brief Reads until the text holds `mark` or the connection ends.
+/// @brief Reads until the text contains `mark` or the connection ends.
 inline std::string ReadUntil(int descriptor, const std::string& mark) {
   std::string text;
   char block[4096];
--- a/src/adapters/transfer.cc
+++ b/src/adapters/transfer.cc
@@ -13,25 +13,25 @@
          !header.name.empty();
 }
 
-// libcurl takes "Name;" for an empty value; "Name:" would remove the header.
-std::string LineOf(const Header& header) {
+// libcurl sends an empty value for "Name;"; "Name:" would remove the header.
+std::string HeaderLine(const Header& header) {
   return header.value.empty() ? header.name + ";"
                               : header.name + ": " + header.value;
 }
 
 std::string_view Trim(std::string_view text) {
-  constexpr std::string_view kBlanks = " \t\r\n";
-  const std::size_t first = text.find_first_not_of(kBlanks);
+  constexpr std::string_view kWhitespace = " \t\r\n";
+  const std::size_t first = text.find_first_not_of(kWhitespace);
   if (first == std::string_view::npos) {
     return {};
   }
-  return text.substr(first, text.find_last_not_of(kBlanks) - first + 1);
+  return text.substr(first, text.find_last_not_of(kWhitespace) - first + 1);
 }
 
-int StatusOf(std::string_view line) {
-  const std::size_t blank = line.find(' ');
+int ParseStatus(std::string_view line) {
+  const std::size_t space = line.find(' ');
   int status = 0;
-  for (std::size_t i = blank + 1;
+  for (std::size_t i = space + 1;
        i < line.size() && line[i] >= '0' && line[i] <= '9'; ++i) {
     status = status * 10 + (line[i] - '0');
   }
@@ -82,10 +82,10 @@
   }
   for (const Header& header : this->call.headers) {
     if (IsSafeHeader(header)) {
-      lines = curl_slist_append(lines, LineOf(header).c_str());
+      lines = curl_slist_append(lines, HeaderLine(header).c_str());
     }
   }
-  this->list.reset(lines);
+  this->header_lines.reset(lines);
   curl_easy_setopt(handle, CURLOPT_HTTPHEADER, lines);
 }
 
@@ -112,7 +112,8 @@
   curl_easy_pause(this->easy.get(), paused ? CURLPAUSE_RECV : CURLPAUSE_CONT);
 }
 
-// A second send can only be the library's own retry on a reused connection.
+// Blocks a second send, which can only be libcurl's own retry on a reused
+// connection.
 int Transfer::BeforeSend(void* self, char* /*local_ip*/, char* /*remote_ip*/,
                          int /*local_port*/, int /*remote_port*/) {
   auto* const transfer = static_cast<Transfer*>(self);
@@ -120,23 +121,23 @@
   return transfer->sends > 1 ? CURL_PREREQFUNC_ABORT : CURL_PREREQFUNC_OK;
 }
 
-void Transfer::TakeHeaderLine(std::string_view line) {
+void Transfer::HandleHeaderLine(std::string_view line) {
   constexpr int kFirstFinalStatus = 200;
   if (line.substr(0, 5) == "HTTP/") {
-    this->head.status = StatusOf(line);
+    this->head.status = ParseStatus(line);
     this->head.headers.clear();
     return;
   }
   const std::string_view text = Trim(line);
   if (text.empty()) {
-    if (this->head.status >= kFirstFinalStatus && !this->head_told) {
-      this->head_told = true;
+    if (this->head.status >= kFirstFinalStatus && !this->head_emitted) {
+      this->head_emitted = true;
       (*this->sink)(this->head);
     }
     return;
   }
   const std::size_t colon = text.find(':');
-  if (colon != std::string_view::npos && !this->head_told) {
+  if (colon != std::string_view::npos && !this->head_emitted) {
     this->head.headers.push_back({std::string(Trim(text.substr(0, colon))),
                                   std::string(Trim(text.substr(colon + 1)))});
   }
@@ -146,7 +147,7 @@
                                void* self) {
   constexpr std::size_t kMaxHeaders = 256;
   auto* const transfer = static_cast<Transfer*>(self);
-  transfer->TakeHeaderLine({bytes, size * count});
+  transfer->HandleHeaderLine({bytes, size * count});
   return transfer->head.headers.size() > kMaxHeaders ? 0 : size * count;
 }
 
@@ -158,7 +159,7 @@
   return size * count;
 }
 
-HttpEnd Transfer::EndOf(CURLcode code) const {
+HttpEnd Transfer::ToHttpEnd(CURLcode code) const {
   if (code == CURLE_OK) {
     return HttpEnd::kComplete;
   }
