--- a/src/telemetry/detail/json_lines.h
+++ b/src/telemetry/detail/json_lines.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Log lines and spans as one line of JSON each.
+/// @brief Rendering of log lines and spans as JSON lines.
 #pragma once
 
 #include <chrono>
@@ -9,7 +9,7 @@
 
 namespace limpetlink {
 
-/// @brief Places the core's monotonic time on the wall clock.
+/// @brief Converts the core's monotonic time to wall time.
 struct WallClock {
   std::chrono::nanoseconds offset{0};  ///< wall time since 1970 minus core time
 
@@ -20,22 +20,25 @@
 };
 
 /// @brief Renders a log line: time, level, message, host and the line's own
-/// fields. A field that
-///        has the name of one of these four is left out.
-/// @param line what to tell
-/// @param host the host that tells it
+/// fields.
+///
+/// A field with the name of one of these four is omitted.
+/// @param line the log line
+/// @param host the host that writes the line
 /// @param time wall time since 1970
-/// @return one line of JSON without its end
+/// @return one line of JSON without a line break
 /// @note Example:
-/// `{"time":"2026-01-02T03:04:05.678Z","level":"info",...,"request":"17"}`
+/// @code{.json}
+/// {"time":"2026-01-02T03:04:05.678Z","level":"info",...,"request":"17"}
+/// @endcode
 std::string RenderLog(const LogLine& line, const HostId& host,
                       std::chrono::nanoseconds time);
 
 /// @brief Renders a span with the field names of OTLP/JSON.
 /// @param span the finished span
-/// @param host stands as the resource attribute `host.id`
-/// @param clock places the span's times
-/// @return one line of JSON without its end
+/// @param host written as the resource attribute `host.id`
+/// @param clock converts the span's times to wall time
+/// @return one line of JSON without a line break
 std::string RenderSpan(const SpanRecord& span, const HostId& host,
                        const WallClock& clock);
 
--- a/src/telemetry/json_lines.cc
+++ b/src/telemetry/json_lines.cc
@@ -17,9 +17,9 @@
   const auto seconds = std::chrono::floor<std::chrono::seconds>(time);
   const auto milliseconds =
       std::chrono::duration_cast<std::chrono::milliseconds>(time - seconds);
-  const auto whole = static_cast<std::time_t>(seconds.count());
+  const auto unix_seconds = static_cast<std::time_t>(seconds.count());
   std::tm parts{};
-  gmtime_r(&whole, &parts);
+  gmtime_r(&unix_seconds, &parts);
   std::array<char, 32> text{};
   const std::size_t size =
       std::strftime(text.data(), text.size(), "%FT%T", &parts);
--- a/src/telemetry/line_writer.cc
+++ b/src/telemetry/line_writer.cc
@@ -17,19 +17,20 @@
 
 namespace {
 
-// Between two lines that tell of dropped ones.
-constexpr Duration kTellDropsEvery = std::chrono::seconds(1);
+// Minimum interval between two warnings about dropped lines.
+constexpr Duration kDropReportInterval = std::chrono::seconds(1);
 
-/// @brief Drops a line when too many wait, and counts it.
-struct CountedDrops {
+/// @brief Overflow strategy that drops a line when the queue is full, and
+/// counts it.
+struct DropAndCount {
   static std::atomic<std::uint64_t>& Count() {
     static std::atomic<std::uint64_t> count{0};
     return count;
   }
 
-  // NOLINTBEGIN(readability-identifier-naming): the names that Boost.Log calls
+  // NOLINTBEGIN(readability-identifier-naming): Boost.Log requires these names
   template <typename Lock>
-  static bool on_overflow(const log::record_view& /*line*/, Lock& /*lock*/) {
+  static bool on_overflow(const log::record_view& /*record*/, Lock& /*lock*/) {
     Count().fetch_add(1, std::memory_order_relaxed);
     return false;
   }
@@ -43,7 +44,7 @@
 class LineWriter::Impl {
  public:
   using Backend = log::sinks::text_ostream_backend;
-  using Queue = log::sinks::bounded_fifo_queue<kMaxQueuedLines, CountedDrops>;
+  using Queue = log::sinks::bounded_fifo_queue<kMaxQueuedLines, DropAndCount>;
   using Sink = log::sinks::asynchronous_sink<Backend, Queue>;
 
   Impl(LineWriterSettings settings, std::ostream& output)
@@ -66,30 +67,32 @@
 
   void Write(const std::string& text) { BOOST_LOG(this->logger) << text; }
 
-  /// @brief Tells how many lines were dropped since it was told last.
-  void TellDrops(Instant now) {
+  /// @brief Reports how many lines were dropped since the last report.
+  void ReportDrops(Instant now) {
     const bool due =
-        CountedDrops::Count().load(std::memory_order_relaxed) > 0 &&
-        now >= this->next_tell.load(std::memory_order_relaxed);
+        DropAndCount::Count().load(std::memory_order_relaxed) > 0 &&
+        now >= this->next_report.load(std::memory_order_relaxed);
     if (!due) {
       return;
     }
-    this->next_tell.store(now + kTellDropsEvery, std::memory_order_relaxed);
-    const std::uint64_t dropped = CountedDrops::Count().exchange(0);
+    this->next_report.store(now + kDropReportInterval,
+                            std::memory_order_relaxed);
+    const std::uint64_t dropped = DropAndCount::Count().exchange(0);
     const LogLine line{LogLevel::kWarning,
                        "log lines dropped",
                        {{"lines", std::to_string(dropped)}}};
     this->Write(
         RenderLog(line, this->settings.host, this->settings.clock.At(now)));
-    if (CountedDrops::Count().load() > 0) {
-      CountedDrops::Count().fetch_add(dropped);  // this line was dropped, too
+    if (DropAndCount::Count().load() > 0) {
+      DropAndCount::Count().fetch_add(
+          dropped);  // the report was dropped as well
     }
   }
 
   LineWriterSettings settings;
 
  private:
-  std::atomic<Instant> next_tell{Instant{}};
+  std::atomic<Instant> next_report{Instant{}};
   log::sources::logger_mt logger;
   boost::shared_ptr<Sink> sink;
 };
@@ -103,7 +106,7 @@
   if (line.level >= settings.level) {
     this->impl->Write(RenderLog(line, settings.host, settings.clock.At(now)));
   }
-  this->impl->TellDrops(now);
+  this->impl->ReportDrops(now);
 }
 
 void LineWriter::Write(const SpanRecord& span) {
--- a/src/telemetry/telemetry.h
+++ b/src/telemetry/telemetry.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Logs and spans as JSON lines.
+/// @brief Asynchronous output of logs and spans as JSON lines.
 #pragma once
 
 #include "telemetry/detail/json_lines.h"
--- a/src/telemetry/tests/telemetry_test.cc
+++ b/src/telemetry/tests/telemetry_test.cc
@@ -10,7 +10,7 @@
 using limpetlink::LogLevel;
 using limpetlink::LogLine;
 
-TEST_CASE("a log line, fields and broken text, it is one line of JSON") {
+TEST_CASE("a log line, fields and invalid UTF-8, it is one line of JSON") {
   const LogLine line{LogLevel::kWarning,
                      "line\nbreak \xff",
                      {{"request", "17"}, {"level", "x"}}};
@@ -36,8 +36,8 @@
         std::string::npos);
 }
 
-/// @brief Takes nothing until it is released.
-class StuckOutput : public std::stringbuf {
+/// @brief An output that blocks until it is released.
+class BlockedOutput : public std::stringbuf {
  public:
   void Release() {
     const std::lock_guard<std::mutex> lock(this->mutex);
@@ -59,16 +59,16 @@
 };
 
 TEST_CASE(
-    "a line writer, output takes nothing, lines beyond the bound are dropped "
-    "and counted, and no caller waits") {
-  constexpr std::size_t kBeyond = 500;
-  StuckOutput buffer;
+    "a line writer, the output is blocked, lines over the limit are dropped "
+    "and counted, and no caller blocks") {
+  constexpr std::size_t kExcess = 500;
+  BlockedOutput buffer;
   std::ostream output(&buffer);
   {
     limpetlink::LineWriter writer({HostId{"a"}, LogLevel::kInfo, {}}, output);
     const LogLine line{LogLevel::kInfo, "request finished", {}};
     for (std::size_t i = 0;
-         i < limpetlink::LineWriter::kMaxQueuedLines + kBeyond; ++i) {
+         i < limpetlink::LineWriter::kMaxQueuedLines + kExcess; ++i) {
       writer.Write(line, Instant{});
     }
     buffer.Release();
@@ -79,16 +79,17 @@
                  Instant{std::chrono::seconds(5)});
   }
   const std::string text = buffer.str();
-  const std::size_t told = text.find("log lines dropped");
-  REQUIRE(told != std::string::npos);
-  // The lines that the writing thread had taken may count as queued or not.
-  const std::size_t lines = text.find("\"lines\":\"", told);
+  const std::size_t report = text.find("log lines dropped");
+  REQUIRE(report != std::string::npos);
+  // Lines that the writing thread has already dequeued may or may not count as
+  // queued.
+  const std::size_t lines = text.find("\"lines\":\"", report);
   const int dropped = std::stoi(text.substr(lines + 9));
   CHECK(dropped >= 490);
   CHECK(dropped <= 500);
 }
 
-TEST_CASE("a line writer, several levels, lines below its own are left out") {
+TEST_CASE("a line writer, several levels, lines below its own are omitted") {
   std::ostringstream output;
   {
     limpetlink::LineWriter writer({HostId{"a"}, LogLevel::kInfo, {}}, output);
