--- a/src/adapters/tests/peer_links_test.cc
+++ b/src/adapters/tests/peer_links_test.cc
@@ -26,7 +26,7 @@
 
   template <typename Condition>
   static void WaitUntil(const Condition& condition) {
-    const auto end = std::chrono::steady_clock::now() + kPatience;
+    const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
     while (!condition() && std::chrono::steady_clock::now() < end) {
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
@@ -38,72 +38,76 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(LinksFixture,
-                 "peer links, equal secrets, frames pass both ways in order") {
+TEST_CASE_METHOD(
+    LinksFixture,
+    "peer links, equal secrets, frames arrive both ways in order") {
   const auto a = this->Open("a", "secret");
   const auto b = this->Open("b", "secret");
   for (int i = 0; i < 50; ++i) {
-    a->Take(To("b", *b, "frame " + std::to_string(i)));
+    a->Send(To("b", *b, "frame " + std::to_string(i)));
   }
   for (std::size_t i = 0; i < 50; ++i) {
     const PeerFrame frame = this->events["b"].Next<PeerFrame>(i);
     CHECK(frame.from == HostId{"a"});
     CHECK(frame.bytes == "frame " + std::to_string(i));
   }
-  b->Take(To("a", *a, "back"));
+  b->Send(To("a", *a, "back"));
   CHECK(this->events["a"].Next<PeerFrame>().bytes == "back");
   CHECK(b->Counts().opened == 1);
 }
 
-TEST_CASE_METHOD(LinksFixture,
-                 "peer links, another secret, it is refused and counted") {
+TEST_CASE_METHOD(
+    LinksFixture,
+    "peer links, a wrong secret, the link is rejected and counted") {
   const auto a = this->Open("a", "wrong");
   const auto b = this->Open("b", "secret");
-  a->Take(To("b", *b, "frame"));
-  WaitUntil([&] { return a->Counts().strangers_refused == 1; });
+  a->Send(To("b", *b, "frame"));
+  WaitUntil([&] { return a->Counts().unauthenticated_rejected == 1; });
   CHECK(b->Counts().frames_received == 0);
   CHECK(a->Counts().frames_dropped == 1);
 }
 
-TEST_CASE_METHOD(LinksFixture,
-                 "peer links, another host at the address, it is refused") {
+TEST_CASE_METHOD(
+    LinksFixture,
+    "peer links, another host at the address, the link is rejected") {
   const auto a = this->Open("a", "secret");
   const auto b = this->Open("b", "secret");
-  a->Take(To("c", *b, "frame"));
-  WaitUntil([&] { return b->Counts().strangers_refused == 1; });
+  a->Send(To("c", *b, "frame"));
+  WaitUntil([&] { return b->Counts().unauthenticated_rejected == 1; });
   CHECK(b->Counts().frames_received == 0);
 }
 
 TEST_CASE_METHOD(
     LinksFixture,
-    "peer links, an over-long frame, its link ends and others go on") {
+    "peer links, a frame over the limit, the link closes and reopens") {
   const auto a = this->Open("a", "secret");
   const auto b = this->Open("b", "secret");
-  a->Take(To("b", *b, std::string(200'000, 'x')));
+  a->Send(To("b", *b, std::string(200'000, 'x')));
   WaitUntil([&] { return a->Counts().opened == 1 && a->Counts().open == 0; });
   CHECK(b->Counts().frames_received == 0);
-  a->Take(To("b", *b, "small"));
+  a->Send(To("b", *b, "small"));
   CHECK(this->events["b"].Next<PeerFrame>().bytes == "small");
 }
 
-TEST_CASE_METHOD(LinksFixture,
-                 "peer links, bytes that are no WebSocket, the host goes on") {
+TEST_CASE_METHOD(
+    LinksFixture,
+    "peer links, bytes that are not HTTP, other links are unaffected") {
   const auto a = this->Open("a", "secret");
   const auto b = this->Open("b", "secret");
-  const int stranger = ConnectTo(b->Port());
-  SendAll(stranger, std::string(5000, '\xff') + "\r\n\r\n");
-  ReadUntil(stranger, "never");
-  close(stranger);
-  a->Take(To("b", *b, "frame"));
+  const int raw_client = ConnectTo(b->Port());
+  SendAll(raw_client, std::string(5000, '\xff') + "\r\n\r\n");
+  ReadUntil(raw_client, "never");
+  close(raw_client);
+  a->Send(To("b", *b, "frame"));
   CHECK(this->events["b"].Next<PeerFrame>().bytes == "frame");
 }
 
 TEST_CASE_METHOD(
     LinksFixture,
-    "peer links, a peer restarted at its address, frames pass again") {
+    "peer links, a peer restarts at its address, frames arrive again") {
   const auto a = this->Open("a", "secret");
   auto b = this->Open("b", "secret");
-  a->Take(To("b", *b, "first"));
+  a->Send(To("b", *b, "first"));
   this->events["b"].Next<PeerFrame>();
   const PeerSend again = To("b", *b, "second");
   b.reset();
@@ -114,12 +118,12 @@
   b = std::make_unique<PeerLinks>(settings, this->events["b"].Sink());
   REQUIRE(b->Start().ok());
   WaitUntil([&] {
-    a->Take(again);
+    a->Send(again);
     return b->Counts().frames_received > 0;
   });
 }
 
-TEST_CASE("a handshake, a proof of another exchange, it is refused") {
+TEST_CASE("a handshake, a proof of another handshake, it is rejected") {
   Handshake connecting("secret", HostId{"a"}, "nonce-1");
   Handshake accepting("secret", HostId{"b"}, "nonce-2");
   const auto challenge = accepting.Challenge(connecting.Hello(HostId{"b"}));
