--- a/programs/limpet_entry/gateway_process.cc
+++ b/programs/limpet_entry/gateway_process.cc
@@ -13,13 +13,13 @@
 
 using platform::NodeSettings;
 
-// The store answers in milliseconds; a call without an answer for so long is
-// taken for lost, so that a silent connection costs a fraction of the time in
-// which configuration must be in force.
+// The store usually responds within milliseconds. A call without a response
+// within this time counts as lost, so that an unresponsive connection uses up
+// only a fraction of the time within which a configuration must be applied.
 constexpr Duration kStoreCallTimeout = std::chrono::milliseconds(700);
 constexpr Duration kStoreOperationTimeout = std::chrono::milliseconds(1500);
-constexpr Duration kStoreFirstBackoff = std::chrono::milliseconds(40);
-constexpr Duration kStoreLongestBackoff = std::chrono::milliseconds(400);
+constexpr Duration kStoreInitialBackoff = std::chrono::milliseconds(40);
+constexpr Duration kStoreMaxBackoff = std::chrono::milliseconds(400);
 
 MetadataStoreSettings StoreSettings(const NodeSettings& node,
                                     std::uint64_t seed) {
@@ -29,9 +29,9 @@
   store.call_timeout = kStoreCallTimeout;
   store.operation_timeout = kStoreOperationTimeout;
   store.watch_margin = kStoreCallTimeout;
-  store.backoff_base = kStoreFirstBackoff;
-  store.backoff_cap = kStoreLongestBackoff;
-  store.budget.reads_per_second = 20.0;  // bounds a host that errs in a loop
+  store.backoff_base = kStoreInitialBackoff;
+  store.backoff_cap = kStoreMaxBackoff;
+  store.budget.reads_per_second = 20.0;  // limits a host that fails in a loop
   store.budget.read_burst = 40.0;
   store.seed = seed;
   return store;
@@ -44,7 +44,7 @@
   settings.region_of = node.region_of;
   settings.neighbour_address = node.neighbour_address;
   settings.seeds = node.seeds;
-  settings.limits = node.bounds;
+  settings.limits = node.limits;
   settings.seed =
       (std::uint64_t{std::random_device()()} << 32U) | std::random_device()();
   settings.store = StoreSettings(node, settings.seed);
@@ -58,7 +58,8 @@
   return {HostId{node.node_name}, LogLevel::kInfo, clock};
 }
 
-/// @brief The process's parts, in the order in which they must live.
+/// @brief The components of the process, declared in the order in which they
+/// must be constructed.
 class GatewayProcess {
  public:
   GatewayProcess(std::string path, NodeSettings node)
@@ -112,11 +113,11 @@
                 {{"reason", DetailOf(read.status())}});
       return;
     }
-    if (read->bounds == this->node.bounds) {
+    if (read->limits == this->node.limits) {
       return;
     }
-    this->node.bounds = read->bounds;
-    this->host.Reload(read->bounds);
+    this->node.limits = read->limits;
+    this->host.Reload(read->limits);
     this->Log(LogLevel::kInfo, "settings reloaded", {});
   }
 
