--- a/programs/common/process_signals.cc
+++ b/programs/common/process_signals.cc
@@ -6,14 +6,14 @@
 namespace limpetlink {
 namespace {
 
-constexpr timespec kTellTimeEvery{60, 0};
+constexpr timespec kTimeOfDayInterval{60, 0};
 
 std::chrono::nanoseconds TimeOfDay() {
   return std::chrono::duration_cast<std::chrono::nanoseconds>(
       std::chrono::system_clock::now().time_since_epoch());
 }
 
-void TellTime(CoreLoop* loop) {
+void PostTimeOfDay(CoreLoop* loop) {
   const auto time =
       std::chrono::duration_cast<std::chrono::milliseconds>(TimeOfDay());
   loop->Post(WallClockRead{time.count()});
@@ -37,24 +37,24 @@
   }
 }
 
-void ProcessSignals::SendTo(CoreLoop* loop) {
-  TellTime(loop);
-  this->thread = std::thread([this, loop] { this->Wait(loop); });
+void ProcessSignals::ForwardTo(CoreLoop* loop) {
+  PostTimeOfDay(loop);
+  this->thread = std::thread([this, loop] { this->WaitForSignals(loop); });
 }
 
-void ProcessSignals::Wait(CoreLoop* loop) {
-  int ends = 0;
+void ProcessSignals::WaitForSignals(CoreLoop* loop) {
+  int signal_count = 0;
   while (true) {
-    const int number = sigtimedwait(&this->set, nullptr, &kTellTimeEvery);
+    const int number = sigtimedwait(&this->set, nullptr, &kTimeOfDayInterval);
     if (number == SIGUSR1) {
       return;
     }
     if (number < 0) {
-      TellTime(loop);
-    } else if (++ends == 1) {
+      PostTimeOfDay(loop);
+    } else if (++signal_count == 1) {
       loop->RequestDrain();
     } else {
-      this->ended_at_once = true;
+      this->stopped_immediately = true;
       loop->RequestStop();
     }
   }
--- a/programs/common/process_signals.h
+++ b/programs/common/process_signals.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief What the programs that run a core share: their signals, time of day
-/// and log lines.
+/// @brief Signal handling, time of day and log settings shared by the programs
+/// that run a core.
 #pragma once
 
 #include <atomic>
@@ -12,34 +12,35 @@
 
 namespace limpetlink {
 
-/// @brief Takes the process's signals on a thread of its own: the first SIGTERM
-/// or SIGINT drains, a
-///        second ends at once. The same thread tells the core the time of day
-///        each minute.
+/// @brief Handles the process's signals on its own thread. The first SIGTERM or
+/// SIGINT drains the core; a second one stops it immediately. The thread also
+/// sends the core the time of day once a minute.
 class ProcessSignals {
  public:
-  /// @brief Blocks the signals for all threads begun later.
+  /// @brief Blocks the signals in the calling thread and in all threads that it
+  /// creates afterwards.
   ProcessSignals();
   ~ProcessSignals();
   ProcessSignals(const ProcessSignals&) = delete;
   ProcessSignals& operator=(const ProcessSignals&) = delete;
 
-  /// @brief Begins to hand signals and the time of day to a loop.
-  /// @param loop outlives this
-  void SendTo(CoreLoop* loop);
+  /// @brief Starts the thread that forwards signals and the time of day.
+  /// @param loop receives them; must outlive this object
+  void ForwardTo(CoreLoop* loop);
 
-  /// @return whether a second signal ended the process
-  bool EndedAtOnce() const { return this->ended_at_once; }
+  /// @return whether a second signal stopped the process
+  bool StoppedImmediately() const { return this->stopped_immediately; }
 
  private:
-  void Wait(CoreLoop* loop);
+  void WaitForSignals(CoreLoop* loop);
 
   sigset_t set{};
   std::thread thread;
-  std::atomic<bool> ended_at_once{false};
+  std::atomic<bool> stopped_immediately{false};
 };
 
-/// @brief Settings of the process's log lines, with the time of day.
+/// @brief Returns the settings of the process's log writer. Its clock maps the
+/// steady clock to the time of day.
 LineWriterSettings ProcessWriterSettings(const HostId& host, LogLevel level);
 
 }  // namespace limpetlink
--- a/programs/limpet_entry/adapter_metrics.cc
+++ b/programs/limpet_entry/adapter_metrics.cc
@@ -80,14 +80,14 @@
   return text;
 }
 
-void MetricsRequests::Note(const CallerRequest& request) {
+void MetricsRequests::Add(const CallerRequest& request) {
   if (request.path == "/metrics") {
     const std::lock_guard<std::mutex> lock(this->mutex);
     this->ids.insert(request.id);
   }
 }
 
-bool MetricsRequests::Forget(RequestId id) {
+bool MetricsRequests::Remove(RequestId id) {
   const std::lock_guard<std::mutex> lock(this->mutex);
   return this->ids.erase(id) > 0;
 }
--- a/programs/limpet_entry/adapter_metrics.h
+++ b/programs/limpet_entry/adapter_metrics.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The adapters' counts as text beside the core's own in /metrics.
+/// @brief Adds the adapters' metrics to those of the core in /metrics.
 #pragma once
 
 #include <mutex>
@@ -10,7 +10,7 @@
 
 namespace limpetlink {
 
-/// @brief Everything the adapters count.
+/// @brief Counters of all adapters and of the event loop.
 struct AdapterCounts {
   HttpServerCounts server;
   HttpClientCounts client;
@@ -18,18 +18,18 @@
   CoreLoopCounts loop;
 };
 
-/// @brief Renders the adapters' counts in the Prometheus text format.
+/// @brief Renders the adapters' counters in the Prometheus text format.
 std::string RenderAdapterMetrics(const AdapterCounts& counts);
 
-/// @brief Remembers which open requests ask for /metrics.
+/// @brief The open requests for /metrics. Thread-safe.
 class MetricsRequests {
  public:
-  /// @brief Notes a request if it asks for the metrics. Any thread.
-  void Note(const CallerRequest& request);
+  /// @brief Adds a request if its path is /metrics.
+  void Add(const CallerRequest& request);
 
-  /// @brief Forgets a request.
-  /// @return whether it had asked for the metrics
-  bool Forget(RequestId id);
+  /// @brief Removes a request.
+  /// @return whether it was a request for /metrics
+  bool Remove(RequestId id);
 
  private:
   std::mutex mutex;
--- a/programs/limpet_entry/main.cc
+++ b/programs/limpet_entry/main.cc
@@ -7,12 +7,12 @@
 
 namespace {
 
-constexpr std::uint64_t kLargestBody = 1U << 30U;
-constexpr std::size_t kShortestSecret = 16;
+constexpr std::uint64_t kMaxBodyBytes = 1U << 30U;
+constexpr std::size_t kMinSecretLength = 16;
 
-limpetlink::AssignSetting SecretInto(std::string* target) {
+limpetlink::AssignSetting AssignSecret(std::string* target) {
   return [target](const std::string& text) -> std::optional<std::string> {
-    if (text.size() < kShortestSecret) {
+    if (text.size() < kMinSecretLength) {
       return "is shorter than 16 characters";
     }
     *target = text;
@@ -20,7 +20,7 @@
   };
 }
 
-limpetlink::AssignSetting DigestInto(std::string* target) {
+limpetlink::AssignSetting AssignDigest(std::string* target) {
   return [target](const std::string& text) -> std::optional<std::string> {
     constexpr std::size_t kDigits = 64;
     if (text.size() != kDigits ||
@@ -46,27 +46,29 @@
   limpetlink::SettingsParser parser("limpet-entry",
                                     "Serves callers of a fleet.");
   parser.Text("host-id", "name of this host", &host.self.value, Need::kRequired)
-      .Text("failure-domain", "where it stands", &host.failure_domain.value,
-            Need::kRequired)
+      .Text("failure-domain", "failure domain of this host",
+            &host.failure_domain.value, Need::kRequired)
       .Address("listen", "address for callers, ip:port", &settings.listen,
                Need::kRequired)
-      .Address("peer-address", "address at which peers reach it, ip:port",
+      .Address("peer-address", "address that peers connect to, ip:port",
                &host.peer_address, Need::kRequired)
-      .Address("peer-listen", "address for peers to bind, if another one",
+      .Address("peer-listen",
+               "address to bind for peers; default: peer-address",
                &settings.peer_listen)
-      .Checked("peer-secret", "secret that all hosts share",
-               SecretInto(&settings.peer_secret), Need::kRequired)
-      .Checked("resume-secret", "key of the resume tokens, equal on all hosts",
-               SecretInto(&host.resume_secret), Need::kRequired)
+      .Checked("peer-secret", "secret shared by all hosts",
+               AssignSecret(&settings.peer_secret), Need::kRequired)
+      .Checked("resume-secret",
+               "key that signs resume tokens; shared by all hosts",
+               AssignSecret(&host.resume_secret), Need::kRequired)
       .Text("platform", "URL of the platform, http://ip:port",
             &host.platform_url, Need::kRequired)
       .Text("fleet", "name of the fleet document", &host.fleet_name,
             Need::kRequired)
       .Checked("operator-key-digest",
                "SHA-256 of the operators' key, hexadecimal",
-               DigestInto(&host.operator_key_digest))
-      .Number("max-body-bytes", "longest body of a caller",
-              &settings.max_body_bytes, 1, kLargestBody)
+               AssignDigest(&host.operator_key_digest))
+      .Number("max-body-bytes", "maximum size of a request body, in bytes",
+              &settings.max_body_bytes, 1, kMaxBodyBytes)
       .Number("seed", "seed of the host's random choices", &host.seed, 1,
               UINT64_MAX)
       .Choice("log-level", "debug, info, warning or error",
--- a/programs/limpet_entry/process.cc
+++ b/programs/limpet_entry/process.cc
@@ -26,7 +26,7 @@
   return links;
 }
 
-/// The adapters that carry the core's orders out.
+/// @brief The adapters, which execute the core's actions.
 class EntryAdapters {
  public:
   EntryAdapters(const EntryProcessSettings& settings, CoreLoop* loop,
@@ -58,8 +58,8 @@
     ActionHooks hooks;
     hooks.carry = [this](Action action) {
       std::visit(
-          [this](auto&& order) {
-            this->Carry(std::forward<decltype(order)>(order));
+          [this](auto&& typed) {
+            this->Execute(std::forward<decltype(typed)>(typed));
           },
           std::move(action));
     };
@@ -75,16 +75,16 @@
   EventSink CallerSink() {
     return [this](Event event) {
       if (const auto* const request = std::get_if<CallerRequest>(&event)) {
-        this->metrics.Note(*request);
+        this->metrics.Add(*request);
       }
       this->loop->Post(std::move(event));
     };
   }
 
-  void Carry(const ReplyHead& head) { this->server.Take(head); }
-  void Carry(ReplyBody body) { this->server.Take(std::move(body)); }
-  void Carry(const ReplyEnd& end) {
-    if (this->metrics.Forget(end.id)) {
+  void Execute(const ReplyHead& head) { this->server.Take(head); }
+  void Execute(ReplyBody body) { this->server.Take(std::move(body)); }
+  void Execute(const ReplyEnd& end) {
+    if (this->metrics.Remove(end.id)) {
       this->server.Take(ReplyBody{
           end.id,
           RenderAdapterMetrics({this->server.Counts(), this->client.Counts(),
@@ -92,13 +92,13 @@
     }
     this->server.Take(end);
   }
-  void Carry(HttpCall call) { this->client.Take(std::move(call)); }
-  void Carry(const HttpCancel& cancel) { this->client.Take(cancel); }
-  void Carry(const HttpPause& pause) { this->client.Take(pause); }
-  void Carry(const HttpOpen& /*open*/) {}  // calls open their own
-  void Carry(PeerSend send) { this->links.Take(std::move(send)); }
-  void Carry(const LogLine& line) { this->writer->Write(line, SteadyNow()); }
-  void Carry(const SpanRecord& span) { this->writer->Write(span); }
+  void Execute(HttpCall call) { this->client.Take(std::move(call)); }
+  void Execute(const HttpCancel& cancel) { this->client.Take(cancel); }
+  void Execute(const HttpPause& pause) { this->client.Take(pause); }
+  void Execute(const HttpOpen& /*open*/) {}  // HttpCall connects itself
+  void Execute(PeerSend send) { this->links.Take(std::move(send)); }
+  void Execute(const LogLine& line) { this->writer->Write(line, SteadyNow()); }
+  void Execute(const SpanRecord& span) { this->writer->Write(span); }
 
   CoreLoop* loop;
   LineWriter* writer;
@@ -128,12 +128,12 @@
   writer.Write(
       LogLine{LogLevel::kInfo, "listening", {{"address", settings.listen}}},
       SteadyNow());
-  signals.SendTo(&loop);
+  signals.ForwardTo(&loop);
   loop.Run(adapters.Hooks());
-  loop.RequestStop();  // adapters' threads that still post are let go
+  loop.RequestStop();  // unblocks adapter threads that wait in Post
   adapters.Stop();
   writer.Write(LogLine{LogLevel::kInfo, "ended", {}}, SteadyNow());
-  return signals.EndedAtOnce() ? 1 : 0;
+  return signals.StoppedImmediately() ? 1 : 0;
 }
 
 }  // namespace limpetlink
--- a/programs/limpet_entry/process.h
+++ b/programs/limpet_entry/process.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief The entry host's process: the core on its adapters, until it is told
-/// to end.
+/// @brief The process of an entry host: runs the core on its adapters until a
+/// signal stops it.
 #pragma once
 
 #include <string>
@@ -15,18 +15,17 @@
 struct EntryProcessSettings {
   EntryHostSettings host;
   std::string listen;       ///< callers' address, "ip:port"
-  std::string peer_listen;  ///< address for peers, "ip:port"; empty: the host's
-                            ///< peer address
-  std::string peer_secret;  ///< equal on all hosts
+  std::string peer_listen;  ///< address to bind for peers, "ip:port"; empty:
+                            ///< the host's peer address
+  std::string peer_secret;  ///< shared by all hosts
   std::uint64_t max_body_bytes = 1U << 20U;
   LogLevel log_level = LogLevel::kInfo;
 };
 
-/// @brief Serves until SIGTERM or SIGINT, then finishes all that is in
-/// progress. A second signal
-///        ends the process at once.
-/// @return 0 after a whole shutdown, 1 when it could not listen or was ended at
-/// once
+/// @brief Serves callers until SIGTERM or SIGINT, then completes the requests
+/// in progress. A second signal stops the process immediately.
+/// @return 0 after a complete shutdown, 1 if it could not listen or was stopped
+/// immediately
 int RunEntryProcess(EntryProcessSettings settings);
 
 }  // namespace limpetlink
--- a/programs/limpet_placement/main.cc
+++ b/programs/limpet_placement/main.cc
@@ -9,7 +9,8 @@
 namespace limpetlink {
 namespace {
 
-/// Carries the core's orders: calls go to the client, lines to the log.
+/// @brief Returns hooks that pass the core's HTTP calls to the client and its
+/// log lines to the writer.
 ActionHooks HooksOf(HttpClient* client, LineWriter* writer) {
   ActionHooks hooks;
   hooks.carry = [client, writer](Action action) {
@@ -34,12 +35,12 @@
   HttpClient client(HttpClientSettings{}, loop.Sink());
   client.Start();
   writer.Write(LogLine{LogLevel::kInfo, "started", {}}, SteadyNow());
-  signals.SendTo(&loop);
+  signals.ForwardTo(&loop);
   loop.Run(HooksOf(&client, &writer));
   loop.RequestStop();
   client.Stop();
   writer.Write(LogLine{LogLevel::kInfo, "ended", {}}, SteadyNow());
-  return signals.EndedAtOnce() ? 1 : 0;
+  return signals.StoppedImmediately() ? 1 : 0;
 }
 
 }  // namespace
@@ -52,8 +53,7 @@
   settings.seed =
       (std::uint64_t{std::random_device()()} << 32U) | std::random_device()();
   limpetlink::SettingsParser parser(
-      "limpet-placement",
-      "Brings engines to the state that the fleet document wants.");
+      "limpet-placement", "Reconciles engines with the fleet document.");
   parser
       .Text("host-id", "name of this host", &settings.self.value,
             Need::kRequired)
--- a/programs/limpetctl/commands.cc
+++ b/programs/limpetctl/commands.cc
@@ -23,15 +23,15 @@
                          const CtlContext& context) {
   const auto found = Commands().find(command);
   if (found == Commands().end()) {
-    return WrongUse(absl::StrCat("there is no command ", command));
+    return UsageError(absl::StrCat("unknown command ", command));
   }
   return found->second(context);
 }
 
-CommandResult WrongUse(const std::string& message) {
+CommandResult UsageError(const std::string& message) {
   CommandResult result;
   result.code = ExitCode::kUsage;
-  result.text = message + "; --help tells more\n";
+  result.text = message + "; see --help\n";
   result.json = {{"problem", message}};
   return result;
 }
--- a/programs/limpetctl/commands.h
+++ b/programs/limpetctl/commands.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The commands of limpetctl, apart from reading settings and printing.
+/// @brief The commands of limpetctl, without parsing of settings and printing.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +12,10 @@
 
 namespace limpetlink {
 
-/// @brief How limpetctl ends.
+/// @brief Exit codes of limpetctl.
 enum class ExitCode : int {
   kOk = 0,
-  kFailed = 1,    ///< a fault in a document, no answer, an unknown outcome
+  kFailed = 1,    ///< invalid document, no response, or unknown outcome
   kUsage = 2,     ///< wrong command, operands or settings
   kConflict = 3,  ///< another change was accepted first
 };
@@ -23,8 +23,8 @@
 /// @brief Settings that all commands share.
 struct CtlSettings {
   std::string platform;  ///< "http://ip:port"
-  std::string fleet;     ///< name; needed where no file names it
-  std::string hosts;     ///< "ip:port,..." of entry hosts; empty: host list
+  std::string fleet;     ///< name; required by commands without a FILE
+  std::string hosts;     ///< "ip:port,..." of entry hosts; empty: the host list
   std::uint64_t host_port = 8080;  ///< callers' port of hosts in the host list
   std::string operator_key;
   std::string author;
@@ -35,48 +35,50 @@
   bool json = false;
 };
 
-/// @brief What a command works with.
+/// @brief Input of a command.
 struct CtlContext {
   CtlSettings settings;
-  std::vector<std::string> operands;  ///< without the command
+  std::vector<std::string> operands;  ///< without the command's name
   HttpExchange exchange;
   WaitHooks hooks;
 };
 
-/// @brief What a command came to.
+/// @brief Result of a command.
 struct CommandResult {
   ExitCode code = ExitCode::kOk;
-  std::string text;             ///< for a person
+  std::string text;             ///< for people
   nlohmann::ordered_json json;  ///< the same for programs
 };
 
 /// @brief Runs a command.
-/// @param command as "apply"
+/// @param command name of the command, e.g. "apply"
 /// @param context settings, operands and hooks
-/// @return what to print and how to end; kUsage for an unknown command
+/// @return the output and the exit code; kUsage for an unknown command
 CommandResult RunCommand(const std::string& command, const CtlContext& context);
 
-/// @brief Checks a file. Operands: FILE.
+/// @brief Validates a fleet document. Operands: FILE.
 CommandResult Validate(const CtlContext& context);
-/// @brief Lists what differs. Operands: BEFORE AFTER, or FILE to compare with
-/// the platform's document.
+/// @brief Lists the differences of two fleet documents. Operands: BEFORE AFTER,
+/// or FILE to compare with the platform's document.
 CommandResult Diff(const CtlContext& context);
-/// @brief Puts a file in force. Operands: FILE.
+/// @brief Applies a fleet document. Operands: FILE.
 CommandResult Apply(const CtlContext& context);
-/// @brief Writes the document in force. No operands.
+/// @brief Prints the active fleet document or writes it to a file. No operands.
 CommandResult Export(const CtlContext& context);
-/// @brief Lists whose changes the versions were. No operands.
+/// @brief Lists the latest versions with their change ids and authors. No
+/// operands.
 CommandResult History(const CtlContext& context);
-/// @brief Shows which hosts have which version. No operands.
+/// @brief Shows the state and the document version of each host. No operands.
 CommandResult Status(const CtlContext& context);
-/// @brief Lists the requests in progress. No operands.
+/// @brief Lists the requests in progress on each host. No operands.
 CommandResult Requests(const CtlContext& context);
 /// @brief Drains an entry host. Operands: ip:port.
 CommandResult Drain(const CtlContext& context);
 
-/// @brief Makes the result of a wrong use.
-CommandResult WrongUse(const std::string& message);
-/// @brief Makes the result of a failure.
+/// @brief Returns the result for invalid arguments: kUsage and a hint at
+/// --help.
+CommandResult UsageError(const std::string& message);
+/// @brief Returns the result for a failed operation.
 CommandResult Failure(const absl::Status& status);
 
 }  // namespace limpetlink
--- a/programs/limpetctl/document_commands.cc
+++ b/programs/limpetctl/document_commands.cc
@@ -9,28 +9,29 @@
 
 using Json = nlohmann::ordered_json;
 
-/// A file's document, or the result that tells why there is none.
+/// @brief The document of a file, or the error that was found in it.
 struct LoadedFile {
   FleetDocument document;
   CommandResult result;  ///< kOk when the document is valid
 };
 
-std::string FaultLine(const std::string& path, const FleetFault& fault) {
-  const std::string place = fault.pointer.empty() ? "/" : fault.pointer;
-  return absl::StrCat(path, ": ", place, " ", fault.message, "\n");
+std::string FormatValidationError(const std::string& path,
+                                  const FleetFault& error) {
+  const std::string pointer = error.pointer.empty() ? "/" : error.pointer;
+  return absl::StrCat(path, ": ", pointer, " ", error.message, "\n");
 }
 
-CommandResult FaultsResult(const std::string& path,
-                           const std::vector<FleetFault>& faults) {
+CommandResult ValidationErrorsResult(const std::string& path,
+                                     const std::vector<FleetFault>& errors) {
   CommandResult result;
   result.code = ExitCode::kFailed;
   result.json = {{"valid", false}, {"file", path}, {"faults", Json::array()}};
-  for (const FleetFault& fault : faults) {
-    result.text += FaultLine(path, fault);
+  for (const FleetFault& error : errors) {
+    result.text += FormatValidationError(path, error);
     result.json["faults"].push_back(
-        {{"pointer", fault.pointer}, {"message", fault.message}});
+        {{"pointer", error.pointer}, {"message", error.message}});
   }
-  absl::StrAppend(&result.text, faults.size(), " faults\n");
+  absl::StrAppend(&result.text, errors.size(), " faults\n");
   return result;
 }
 
@@ -46,7 +47,7 @@
   }
   FleetParseResult parsed = ParseFleet(text.str());
   if (!parsed.Ok()) {
-    loaded.result = FaultsResult(path, parsed.faults);
+    loaded.result = ValidationErrorsResult(path, parsed.faults);
   }
   loaded.document = std::move(parsed.document);
   return loaded;
@@ -71,8 +72,8 @@
   result->json["patch"] = Json::parse(MakeFleetPatch(before, after));
 }
 
-absl::StatusOr<FleetDocument> DocumentInForce(const CtlContext& context,
-                                              const std::string& name) {
+absl::StatusOr<FleetDocument> ReadActiveDocument(const CtlContext& context,
+                                                 const std::string& name) {
   PlatformAccess platform = OpenPlatform(context);
   const auto stored = FetchFleet(&platform, name);
   if (!stored.ok()) {
@@ -85,52 +86,53 @@
 }
 
 CommandResult ConflictResult(const CtlContext& context,
-                             const FleetDocument& wanted,
+                             const FleetDocument& desired,
                              const ApplyResult& applied) {
   CommandResult result;
   result.code = ExitCode::kConflict;
   const std::uint64_t base = context.settings.base_version;
   result.text =
-      absl::StrCat("not applied: the fleet ", wanted.name, " is at version ",
+      absl::StrCat("not applied: the fleet ", desired.name, " is at version ",
                    applied.current_version, ", not at ", base,
-                   ".\nThe file beside that version would change:\n");
+                   ".\nChanges of the file relative to that version:\n");
   result.json = {{"outcome", "conflict"},
                  {"code", Describe(ErrorCode::kFleetConflict).name},
                  {"base_version", base},
                  {"current_version", applied.current_version}};
   const FleetParseResult current = ParseFleet(applied.current_text);
   if (current.Ok()) {
-    AddDifferences(current.document, wanted, &result);
+    AddDifferences(current.document, desired, &result);
   }
-  absl::StrAppend(&result.text, "To apply it all the same: --base-version ",
+  absl::StrAppend(&result.text, "To apply it anyway: --base-version ",
                   applied.current_version, "\n");
   return result;
 }
 
-CommandResult ApplyEnd(const CtlContext& context, const FleetDocument& wanted,
-                       const ApplyResult& applied) {
+CommandResult MakeApplyCommandResult(const CtlContext& context,
+                                     const FleetDocument& desired,
+                                     const ApplyResult& applied) {
   CommandResult result;
   result.json = {{"outcome", ToText(applied.outcome)},
-                 {"change_id", wanted.change_id}};
+                 {"change_id", desired.change_id}};
   switch (applied.outcome) {
     case ApplyOutcome::kApplied:
-      result.text = absl::StrCat("applied: the fleet ", wanted.name,
+      result.text = absl::StrCat("applied: the fleet ", desired.name,
                                  " is at version ", applied.version, "\n");
       result.json["version"] = applied.version;
       return result;
     case ApplyOutcome::kConflict:
-      return ConflictResult(context, wanted, applied);
+      return ConflictResult(context, desired, applied);
     case ApplyOutcome::kNotApplied:
       result.code = ExitCode::kFailed;
-      result.text = "not applied: the platform was not reached\n";
+      result.text = "not applied: the platform could not be reached\n";
       return result;
     case ApplyOutcome::kUnknown:
       break;
   }
   result.code = ExitCode::kFailed;
   result.text =
-      "unknown: the change may still take effect. The same command again "
-      "tells, and does no harm.\n";
+      "unknown: the change may still take effect. Run the same "
+      "command again to learn the outcome; repeating it is safe.\n";
   return result;
 }
 
@@ -138,7 +140,7 @@
 
 CommandResult Validate(const CtlContext& context) {
   if (context.operands.size() != 1) {
-    return WrongUse("validate takes one FILE");
+    return UsageError("validate takes one FILE");
   }
   const std::string& path = context.operands.front();
   LoadedFile loaded = LoadFile(path);
@@ -157,7 +159,7 @@
 CommandResult Diff(const CtlContext& context) {
   const auto& operands = context.operands;
   if (operands.empty() || operands.size() > 2) {
-    return WrongUse("diff takes BEFORE and AFTER, or one FILE");
+    return UsageError("diff takes BEFORE and AFTER, or one FILE");
   }
   const LoadedFile after = LoadFile(operands.back());
   if (after.result.code != ExitCode::kOk) {
@@ -167,7 +169,7 @@
   if (operands.size() == 2) {
     before = LoadFile(operands.front());
   } else {
-    const auto stored = DocumentInForce(context, after.document.name);
+    const auto stored = ReadActiveDocument(context, after.document.name);
     if (!stored.ok()) {
       return Failure(stored.status());
     }
@@ -186,37 +188,38 @@
 
 CommandResult Apply(const CtlContext& context) {
   if (context.operands.size() != 1) {
-    return WrongUse("apply takes one FILE");
+    return UsageError("apply takes one FILE");
   }
   LoadedFile loaded = LoadFile(context.operands.front());
   if (loaded.result.code != ExitCode::kOk) {
     return loaded.result;
   }
   const CtlSettings& settings = context.settings;
-  FleetDocument& wanted = loaded.document;
-  wanted.change_id =
-      MakeChangeId(settings.base_version, settings.author, wanted);
-  wanted.author = settings.author;
+  FleetDocument& desired = loaded.document;
+  desired.change_id =
+      MakeChangeId(settings.base_version, settings.author, desired);
+  desired.author = settings.author;
   const auto text =
-      StampChange(WriteFleet(wanted), wanted.change_id, wanted.author);
+      StampChange(WriteFleet(desired), desired.change_id, desired.author);
   if (!text.ok()) {
     return Failure(text.status());
   }
   FleetChange change;
-  change.fleet_name = wanted.name;
-  change.change_id = wanted.change_id;
+  change.fleet_name = desired.name;
+  change.change_id = desired.change_id;
   change.base_version = settings.base_version;
   change.base_text = *text;
   change.text = *text;
   PlatformAccess platform = OpenPlatform(context);
-  const std::chrono::seconds limit(settings.timeout_s);
-  return ApplyEnd(context, wanted, platform.Apply(change, limit));
+  const std::chrono::seconds timeout(settings.timeout_s);
+  return MakeApplyCommandResult(context, desired,
+                                platform.Apply(change, timeout));
 }
 
 CommandResult Export(const CtlContext& context) {
   const CtlSettings& settings = context.settings;
   if (settings.fleet.empty()) {
-    return WrongUse("export needs --fleet");
+    return UsageError("export needs --fleet");
   }
   PlatformAccess platform = OpenPlatform(context);
   const auto stored = FetchFleet(&platform, settings.fleet);
@@ -240,7 +243,7 @@
           absl::StrCat(settings.output, ": cannot be written")));
     }
     result.text = absl::StrCat(settings.output, ": version ", stored->version,
-                               "; apply changes of it with "
+                               "; apply changes to it with "
                                "--base-version ",
                                stored->version, "\n");
   }
@@ -250,7 +253,7 @@
 CommandResult History(const CtlContext& context) {
   const CtlSettings& settings = context.settings;
   if (settings.fleet.empty()) {
-    return WrongUse("history needs --fleet");
+    return UsageError("history needs --fleet");
   }
   PlatformAccess platform = OpenPlatform(context);
   const auto stored = FetchFleet(&platform, settings.fleet);
--- a/programs/limpetctl/host_commands.cc
+++ b/programs/limpetctl/host_commands.cc
@@ -8,7 +8,8 @@
 
 using Json = nlohmann::ordered_json;
 
-/// The host list gives the port for other hosts; callers have another.
+/// @brief Replaces the port of an address. The host list holds the peer port,
+/// which differs from the port for callers.
 std::string WithPort(const std::string& address, std::uint64_t port) {
   return absl::StrCat(address.substr(0, address.rfind(':')), ":", port);
 }
@@ -40,7 +41,8 @@
 
 std::string StatusLine(const HostStatus& status) {
   if (!status.answered) {
-    return absl::StrCat(status.address, "  no answer: ", status.problem, "\n");
+    return absl::StrCat(status.address, "  no response: ", status.problem,
+                        "\n");
   }
   const char* state = "not ready";
   if (status.draining) {
@@ -79,7 +81,7 @@
 
 CommandResult Status(const CtlContext& context) {
   if (!context.operands.empty()) {
-    return WrongUse("status takes no operands");
+    return UsageError("status takes no operands");
   }
   const auto addresses = HostAddresses(context);
   if (!addresses.ok()) {
@@ -108,7 +110,7 @@
 
 CommandResult Requests(const CtlContext& context) {
   if (!context.operands.empty()) {
-    return WrongUse("requests takes no operands");
+    return UsageError("requests takes no operands");
   }
   const auto addresses = HostAddresses(context);
   if (!addresses.ok()) {
@@ -124,11 +126,11 @@
       result.code = ExitCode::kFailed;
       host["problem"] = absl::StrCat(body.status().message());
       absl::StrAppend(&result.text, address,
-                      "  no answer: ", body.status().message(), "\n");
+                      "  no response: ", body.status().message(), "\n");
     } else {
-      const Json answer = Json::parse(*body, nullptr, false);
-      const bool listed = answer.is_object() && answer.contains("requests");
-      host["requests"] = listed ? answer["requests"] : answer;
+      const Json response = Json::parse(*body, nullptr, false);
+      const bool listed = response.is_object() && response.contains("requests");
+      host["requests"] = listed ? response["requests"] : response;
       for (const Json& row : host["requests"]) {
         result.text += RequestLine(address, row);
       }
@@ -143,13 +145,13 @@
 
 CommandResult Drain(const CtlContext& context) {
   if (context.operands.size() != 1) {
-    return WrongUse("drain takes one host, ip:port");
+    return UsageError("drain takes one host, ip:port");
   }
   const std::string& address = context.operands.front();
-  const absl::Status ordered =
+  const absl::Status status =
       OrderDrain(context.exchange, AccessOf(context, address));
-  if (!ordered.ok()) {
-    return Failure(ordered);
+  if (!status.ok()) {
+    return Failure(status);
   }
   CommandResult result;
   result.text = address + " is draining\n";
--- a/programs/limpetctl/main.cc
+++ b/programs/limpetctl/main.cc
@@ -1,5 +1,5 @@
 /// @file
-/// @brief limpetctl: the operators' command line.
+/// @brief limpetctl: the operators' command-line tool.
 #include <curl/curl.h>
 
 #include <cstdlib>
@@ -14,7 +14,8 @@
 constexpr char kOperandsHelp[] =
     "COMMAND [OPERAND...]: validate FILE | diff BEFORE AFTER | diff FILE | "
     "apply FILE | export | history | status | requests | drain IP:PORT. "
-    "Exit codes: 0 done, 1 failed, 2 wrong use or settings, 3 conflict";
+    "Exit codes: 0 success, 1 failure, 2 invalid arguments or settings, 3 "
+    "conflict";
 
 std::string DefaultAuthor() {
   const char* user = std::getenv("USER");
@@ -23,10 +24,10 @@
 
 SettingsParser MakeParser(CtlSettings* settings,
                           std::vector<std::string>* operands) {
-  constexpr std::uint64_t kMostRows = 1000;
-  constexpr std::uint64_t kMostSeconds = 3600;
+  constexpr std::uint64_t kMaxRows = 1000;
+  constexpr std::uint64_t kMaxSeconds = 3600;
   SettingsParser parser("limpetctl",
-                        "Checks, applies and watches a fleet document.");
+                        "Validates, applies and inspects a fleet document.");
   parser
       .Text("platform", "platform's object API, http://ip:port",
             &settings->platform)
@@ -41,9 +42,10 @@
       .Text("output", "file that export writes", &settings->output)
       .Number("base-version", "version that apply replaces; 0: create",
               &settings->base_version, 0, UINT64_MAX)
-      .Number("limit", "rows of history", &settings->limit, 1, kMostRows)
-      .Number("timeout", "seconds that apply may take", &settings->timeout_s, 1,
-              kMostSeconds)
+      .Number("limit", "number of versions that history lists",
+              &settings->limit, 1, kMaxRows)
+      .Number("timeout", "timeout of apply, in seconds", &settings->timeout_s,
+              1, kMaxSeconds)
       .Switch("json", "print JSON", &settings->json)
       .Operands(kOperandsHelp, operands);
   return parser;
@@ -67,8 +69,9 @@
   curl_global_init(CURL_GLOBAL_DEFAULT);
   const CommandResult result = RunCommand(command, context);
   curl_global_cleanup();
-  const bool well = result.code == ExitCode::kOk;
-  std::ostream& out = well || context.settings.json ? std::cout : std::cerr;
+  const bool succeeded = result.code == ExitCode::kOk;
+  std::ostream& out =
+      succeeded || context.settings.json ? std::cout : std::cerr;
   if (context.settings.json) {
     out << result.json.dump(2, ' ', false,
                             nlohmann::json::error_handler_t::replace)
--- a/programs/limpetctl/tests/commands_test.cc
+++ b/programs/limpetctl/tests/commands_test.cc
@@ -9,24 +9,25 @@
 namespace limpetlink {
 namespace {
 
-/// The platform's object API in memory, and what happens to single answers.
+/// @brief The platform's object API in memory. It can lose responses to writes
+/// of fleet documents or be unreachable.
 class MemoryPlatform {
  public:
   HttpAnswer Exchange(const HttpCall& call) {
-    if (this->away) {
+    if (this->unreachable) {
       return {HttpEnd::kNotConnected, 0, {}, {}};
     }
     constexpr std::string_view kObjects = "/v1/objects/";
     const std::string path = call.url.substr(call.url.find("/v1/"));
     const std::string key = path.substr(kObjects.size());
-    HttpAnswer answer =
+    HttpAnswer response =
         call.method == "PUT" ? this->Put(key, call) : this->Get(key);
-    if (call.method == "PUT" && this->lost_answers > 0 &&
+    if (call.method == "PUT" && this->lost_responses > 0 &&
         key.rfind("fleet/", 0) == 0) {
-      --this->lost_answers;
+      --this->lost_responses;
       return {HttpEnd::kCut, 0, {}, {}};
     }
-    return answer;
+    return response;
   }
 
   struct Object {
@@ -35,11 +36,11 @@
   };
 
   std::map<std::string, Object> objects;
-  int lost_answers = 0;
-  bool away = false;
+  int lost_responses = 0;
+  bool unreachable = false;
 
  private:
-  static HttpAnswer Answer(int status, const Object& object) {
+  static HttpAnswer Response(int status, const Object& object) {
     const std::string tag = "\"" + std::to_string(object.version) + "\"";
     return {HttpEnd::kComplete, status, {{"ETag", tag}}, object.bytes};
   }
@@ -49,7 +50,7 @@
     if (found == this->objects.end()) {
       return {HttpEnd::kComplete, 404, {}, {}};
     }
-    return Answer(200, found->second);
+    return Response(200, found->second);
   }
 
   HttpAnswer Put(const std::string& key, const HttpCall& call) {
@@ -57,18 +58,18 @@
     const std::string* match = FindHeader(call.headers, "If-Match");
     const bool absent = FindHeader(call.headers, "If-None-Match") != nullptr;
     const std::string tag = "\"" + std::to_string(object.version) + "\"";
-    const bool holds =
+    const bool precondition_met =
         match != nullptr ? *match == tag : !absent || object.version == 0;
-    if (!holds) {
+    if (!precondition_met) {
       return {HttpEnd::kComplete, 412, {{"ETag", tag}}, {}};
     }
     object.bytes = call.body;
     ++object.version;
-    return Answer(object.version == 1 ? 201 : 200, {object.version, {}});
+    return Response(object.version == 1 ? 201 : 200, {object.version, {}});
   }
 };
 
-/// Runs commands against a platform in memory, in virtual time.
+/// @brief Runs commands against a MemoryPlatform in virtual time.
 class CtlCommands {
  protected:
   CtlCommands() {
@@ -94,16 +95,19 @@
     return std::string(LIMPETLINK_EXAMPLES) + "/" + name;
   }
 
-  /// Writes a spoilt or changed copy of the example into the build folder.
-  static std::string Changed(const std::string& name, const std::string& from,
-                             const std::string& to) {
+  /// @brief Writes a copy of the example with one replacement to the working
+  /// directory.
+  /// @return the name of the file
+  static std::string WriteModifiedExample(const std::string& name,
+                                          const std::string& from,
+                                          const std::string& to) {
     std::ifstream file(Example("swan-coast.json"));
     std::ostringstream text;
     text << file.rdbuf();
     std::string changed = text.str();
-    const std::size_t place = changed.find(from);
-    REQUIRE(place != std::string::npos);
-    changed.replace(place, from.size(), to);
+    const std::size_t position = changed.find(from);
+    REQUIRE(position != std::string::npos);
+    changed.replace(position, from.size(), to);
     std::ofstream(name) << changed;
     return name;
   }
@@ -117,20 +121,22 @@
   Instant now{};
 };
 
-TEST_CASE_METHOD(CtlCommands, "validate, valid and spoilt file, tells which") {
+TEST_CASE_METHOD(CtlCommands,
+                 "validate, valid and invalid file, are distinguished") {
   const CommandResult valid =
       this->Run("validate", {Example("swan-coast.json")});
   CHECK(valid.code == ExitCode::kOk);
-  const std::string spoilt =
-      Changed("ctl_spoilt.json", "\"perth\"", "\"no region\"");
-  const CommandResult faults = this->Run("validate", {spoilt});
-  CHECK(faults.code == ExitCode::kFailed);
-  CHECK(faults.json["faults"][0]["pointer"] == "/failure_domains/0/region");
+  const std::string invalid =
+      WriteModifiedExample("ctl_invalid.json", "\"perth\"", "\"no region\"");
+  const CommandResult errors = this->Run("validate", {invalid});
+  CHECK(errors.code == ExitCode::kFailed);
+  CHECK(errors.json["faults"][0]["pointer"] == "/failure_domains/0/region");
   CHECK(this->Run("validate", {"no_such_file.json"}).code == ExitCode::kFailed);
-  std::remove(spoilt.c_str());
+  std::remove(invalid.c_str());
 }
 
-TEST_CASE_METHOD(CtlCommands, "wrong use, of any command, ends with 2") {
+TEST_CASE_METHOD(CtlCommands,
+                 "invalid arguments, of any command, exit with 2") {
   CHECK(this->Run("", {}).code == ExitCode::kUsage);
   CHECK(this->Run("frobnicate", {}).code == ExitCode::kUsage);
   CHECK(this->Run("apply", {}).code == ExitCode::kUsage);
@@ -149,23 +155,25 @@
   CHECK(exported.json["document"]["author"] == "ada");
 }
 
-TEST_CASE_METHOD(CtlCommands, "apply, answer lost, is resolved by reading") {
-  this->platform.lost_answers = 1;
+TEST_CASE_METHOD(CtlCommands, "apply, response lost, is resolved by reading") {
+  this->platform.lost_responses = 1;
   CHECK(this->Run("apply", {Example("swan-coast.json")}).code == ExitCode::kOk);
   CHECK(this->Version() == 1);
 }
 
-TEST_CASE_METHOD(CtlCommands, "apply, the same again, changes nothing") {
+TEST_CASE_METHOD(CtlCommands,
+                 "apply, repeated with the same file, changes nothing") {
   this->Run("apply", {Example("swan-coast.json")});
   const CommandResult again = this->Run("apply", {Example("swan-coast.json")});
   CHECK(again.code == ExitCode::kOk);
   CHECK(this->Version() == 1);
 }
 
-TEST_CASE_METHOD(CtlCommands, "apply, old base version, shows the conflict") {
+TEST_CASE_METHOD(CtlCommands,
+                 "apply, outdated base version, reports the conflict") {
   this->Run("apply", {Example("swan-coast.json")});
-  const std::string other =
-      Changed("ctl_other.json", "\"weight\": 4.0", "\"weight\": 5.0");
+  const std::string other = WriteModifiedExample(
+      "ctl_other.json", "\"weight\": 4.0", "\"weight\": 5.0");
   const CommandResult conflict = this->Run("apply", {other});
   CHECK(conflict.code == ExitCode::kConflict);
   CHECK(conflict.json["current_version"] == 1);
@@ -174,7 +182,7 @@
         "organisations/panel-perth");
   CHECK(conflict.json["differences"][0]["after"] == "5.0");
   CHECK(this->Version() == 1);
-  SECTION("with the version that was read, it is applied") {
+  SECTION("with the current base version, it is applied") {
     this->context.settings.base_version = 1;
     CHECK(this->Run("apply", {other}).code == ExitCode::kOk);
     const CommandResult history = this->Run("history", {});
@@ -186,15 +194,15 @@
   std::remove(other.c_str());
 }
 
-TEST_CASE_METHOD(CtlCommands, "apply, platform away, ends with a failure") {
-  this->platform.away = true;
+TEST_CASE_METHOD(CtlCommands, "apply, platform unreachable, fails") {
+  this->platform.unreachable = true;
   const CommandResult result = this->Run("apply", {Example("swan-coast.json")});
   CHECK(result.code == ExitCode::kFailed);
   CHECK(result.json["outcome"] == "not_applied");
 }
 
 TEST_CASE_METHOD(CtlCommands,
-                 "status, hosts of two versions, are not uniform") {
+                 "status, hosts with different versions, are not uniform") {
   this->context.settings.hosts = "127.0.0.1:1,127.0.0.1:2,127.0.0.1:3";
   this->context.exchange = [](const HttpCall& call) -> HttpAnswer {
     const char port = call.url[std::string("http://127.0.0.1:").size()];
@@ -214,10 +222,12 @@
   CHECK(result.json["hosts"][2]["answered"] == false);
 }
 
-TEST_CASE_METHOD(CtlCommands, "status, no hosts given, asks the listed hosts") {
-  std::vector<std::string> asked;
-  this->context.exchange = [&asked](const HttpCall& call) -> HttpAnswer {
-    asked.push_back(call.url);
+TEST_CASE_METHOD(CtlCommands,
+                 "status, no hosts given, queries the listed hosts") {
+  std::vector<std::string> requested_urls;
+  this->context.exchange =
+      [&requested_urls](const HttpCall& call) -> HttpAnswer {
+    requested_urls.push_back(call.url);
     const bool list = call.url.find("/v1/hosts") != std::string::npos;
     return {HttpEnd::kComplete,
             200,
@@ -229,8 +239,8 @@
   };
   const CommandResult result = this->Run("status", {});
   CHECK(result.code == ExitCode::kOk);
-  REQUIRE(asked.size() == 2);
-  CHECK(asked[1] == "http://127.0.0.7:8080/v1/status");
+  REQUIRE(requested_urls.size() == 2);
+  CHECK(requested_urls[1] == "http://127.0.0.7:8080/v1/status");
   CHECK(result.json["uniform"] == true);
 }
 
