--- a/cmake/limpetlink.cmake
+++ b/cmake/limpetlink.cmake
@@ -1,5 +1,5 @@
-# Targets of one shape: every library is limpetlink_NAME with the alias limpetlink::NAME,
-# every test program is NAME_test and registers its cases with ctest.
+# Functions that define targets by one convention: a library is limpetlink_NAME with the alias
+# limpetlink::NAME, a test program is NAME_test and registers its test cases with ctest.
 
 find_package(Threads REQUIRED)
 find_package(absl REQUIRED)
@@ -30,14 +30,14 @@
 if(LIMPETLINK_SANITIZER STREQUAL "address")
   target_compile_options(limpetlink_options INTERFACE
     -fsanitize=address,undefined -fno-sanitize-recover=all -fno-omit-frame-pointer
-    -Wno-maybe-uninitialized)  # GCC 12 warns wrongly inside <regex> and Catch2 here
+    -Wno-maybe-uninitialized)  # false positives of GCC 12 in <regex> and Catch2
   target_link_options(limpetlink_options INTERFACE -fsanitize=address,undefined)
 elseif(LIMPETLINK_SANITIZER STREQUAL "thread")
   target_compile_options(limpetlink_options INTERFACE -fsanitize=thread -fno-omit-frame-pointer)
   target_link_options(limpetlink_options INTERFACE -fsanitize=thread)
 endif()
 
-# limpetlink_library(NAME SOURCES a.cc ... [DEPS limpetlink::x ...])
+# limpetlink_library(NAME SOURCES a.cc ... [DEPS limpetlink::x ...]): adds a static library.
 function(limpetlink_library name)
   cmake_parse_arguments(ARG "" "" "SOURCES;DEPS" ${ARGN})
   add_library(limpetlink_${name} STATIC ${ARG_SOURCES})
@@ -46,7 +46,7 @@
   target_link_libraries(limpetlink_${name} PUBLIC ${ARG_DEPS} PRIVATE limpetlink_options)
 endfunction()
 
-# limpetlink_program(NAME SOURCES a.cc ... [DEPS ...]): a binary called NAME.
+# limpetlink_program(NAME SOURCES a.cc ... [DEPS ...]): adds an executable NAME in build/bin.
 function(limpetlink_program name)
   cmake_parse_arguments(ARG "" "" "SOURCES;DEPS" ${ARGN})
   add_executable(${name} ${ARG_SOURCES})
@@ -55,8 +55,8 @@
   set_target_properties(${name} PROPERTIES RUNTIME_OUTPUT_DIRECTORY ${CMAKE_BINARY_DIR}/bin)
 endfunction()
 
-# limpetlink_test(NAME SOURCES a_test.cc ... [DEPS ...] [LABEL core|process])
-# Catch2's main is compiled once, in limpetlink_catch_main.
+# limpetlink_test(NAME SOURCES a_test.cc ... [DEPS ...] [LABEL core|process]): adds a test program.
+# All test programs link limpetlink_catch_main, so that Catch2's main is compiled only once.
 function(limpetlink_test name)
   if(NOT LIMPETLINK_BUILD_TESTS)
     return()
@@ -69,7 +69,7 @@
   target_include_directories(${name}_test PRIVATE ${PROJECT_SOURCE_DIR}/src ${PROJECT_SOURCE_DIR})
   target_link_libraries(${name}_test PRIVATE ${ARG_DEPS} limpetlink_catch_main limpetlink_options)
   if(NOT TARGET tests_${ARG_LABEL})
-    add_custom_target(tests_${ARG_LABEL})  # builds the test programs of a label
+    add_custom_target(tests_${ARG_LABEL})  # builds all test programs of the label
   endif()
   add_dependencies(tests_${ARG_LABEL} ${name}_test)
   catch_discover_tests(${name}_test TEST_PREFIX "${name}: "
