--- a/tests/scenario/applier.cc
+++ b/tests/scenario/applier.cc
@@ -5,16 +5,16 @@
 namespace limpetlink::scenario {
 namespace {
 
-constexpr std::chrono::seconds kApplyLimit{30};
+constexpr std::chrono::seconds kApplyTimeout{30};
 
 }  // namespace
 
 Applier::Applier(std::string platform_url, FleetChange change)
     : base_version(change.base_version) {
   this->thread = std::thread(
-      [this, url = std::move(platform_url), wanted = std::move(change)] {
+      [this, url = std::move(platform_url), change = std::move(change)] {
         PlatformAccess platform(url, ExchangeOverCurl, SystemWaitHooks());
-        const ApplyResult applied = platform.Apply(wanted, kApplyLimit);
+        const ApplyResult applied = platform.Apply(change, kApplyTimeout);
         const std::lock_guard<std::mutex> lock(this->mutex);
         this->result = applied;
       });
--- a/tests/scenario/applier.h
+++ b/tests/scenario/applier.h
@@ -1,6 +1,5 @@
 /// @file
-/// @brief An operator of a scenario: one change of the fleet document, applied
-/// in the background.
+/// @brief Applies one change of the fleet document in the background.
 #pragma once
 
 #include <mutex>
@@ -13,25 +12,26 @@
 
 namespace limpetlink::scenario {
 
-/// @brief Applies a change on a thread of its own.
+/// @brief Applies a change on its own thread.
 class Applier {
  public:
-  /// @brief Begins at once.
+  /// @brief Starts applying the change.
   /// @param platform_url "http://ip:port"
-  /// @param change what is wanted
+  /// @param change the change to apply
   Applier(std::string platform_url, FleetChange change);
-  /// @brief Waits for the change's end.
+  /// @brief Waits until the change has ended.
   ~Applier();
   Applier(const Applier&) = delete;
   Applier& operator=(const Applier&) = delete;
 
-  /// @return how it ended, once it has
+  /// @return the result, or std::nullopt while the change is in progress
   std::optional<ApplyResult> Result() const;
 
-  /// @return the version that the change began from
+  /// @return the version that the change is based on
   std::uint64_t BaseVersion() const { return this->base_version; }
 
-  /// @return ended, outcome, version, current_version
+  /// @brief Renders the state as an observation of the scenario language.
+  /// @return the members ended, outcome, version and current_version
   nlohmann::json Observe() const;
 
  private:
@@ -41,10 +41,10 @@
   std::thread thread;
 };
 
-/// @brief Makes the change that a document describes.
-/// @param document what is to be in force
-/// @param author who wants it
-/// @param base_version version it replaces
+/// @brief Builds the change that replaces the fleet document.
+/// @param document the new document
+/// @param author name recorded as the author
+/// @param base_version version that the change replaces
 FleetChange MakeChange(FleetDocument document, const std::string& author,
                        std::uint64_t base_version);
 
--- a/tests/scenario/caller.cc
+++ b/tests/scenario/caller.cc
@@ -14,8 +14,8 @@
 using CurlLong = decltype(0L);
 
 constexpr int kOk = 200;
-constexpr CurlLong kConnectMilliseconds = 2000;
-constexpr CurlLong kLongestSeconds = 240;
+constexpr CurlLong kConnectTimeoutMs = 2000;
+constexpr CurlLong kTransferTimeoutSeconds = 240;
 
 struct Transfer {
   Caller* caller = nullptr;
@@ -28,33 +28,33 @@
   return static_cast<int>(status);
 }
 
-std::size_t TakeBody(char* data, std::size_t size, std::size_t count,
-                     void* target) {
+std::size_t OnCurlBody(char* data, std::size_t size, std::size_t count,
+                       void* target) {
   const auto* transfer = static_cast<Transfer*>(target);
   const std::size_t bytes = size * count;
-  const bool go_on =
+  const bool proceed =
       transfer->caller->OnBody({data, bytes}, StatusOf(transfer->handle));
-  return go_on ? bytes : 0;
+  return proceed ? bytes : 0;
 }
 
-int CheckHungUp(void* target, curl_off_t /*total*/, curl_off_t /*now*/,
-                curl_off_t /*up_total*/, curl_off_t /*up_now*/) {
+int OnCurlProgress(void* target, curl_off_t /*total*/, curl_off_t /*now*/,
+                   curl_off_t /*up_total*/, curl_off_t /*up_now*/) {
   const auto* transfer = static_cast<Transfer*>(target);
-  return transfer->caller->HungUp() ? 1 : 0;
+  return transfer->caller->Disconnected() ? 1 : 0;
 }
 
-void SetUp(CURL* handle, const CallerCall& call, curl_slist* headers,
-           Transfer* transfer) {
+void ConfigureTransfer(CURL* handle, const CallerCall& call,
+                       curl_slist* headers, Transfer* transfer) {
   curl_easy_setopt(handle, CURLOPT_URL, call.url.c_str());
   curl_easy_setopt(handle, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt(handle, CURLOPT_NOPROXY, "*");
   curl_easy_setopt(handle, CURLOPT_CUSTOMREQUEST, call.method.c_str());
   curl_easy_setopt(handle, CURLOPT_HTTPHEADER, headers);
-  curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS, kConnectMilliseconds);
-  curl_easy_setopt(handle, CURLOPT_TIMEOUT, kLongestSeconds);
-  curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, TakeBody);
+  curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS, kConnectTimeoutMs);
+  curl_easy_setopt(handle, CURLOPT_TIMEOUT, kTransferTimeoutSeconds);
+  curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, OnCurlBody);
   curl_easy_setopt(handle, CURLOPT_WRITEDATA, transfer);
-  curl_easy_setopt(handle, CURLOPT_XFERINFOFUNCTION, CheckHungUp);
+  curl_easy_setopt(handle, CURLOPT_XFERINFOFUNCTION, OnCurlProgress);
   curl_easy_setopt(handle, CURLOPT_XFERINFODATA, transfer);
   curl_easy_setopt(handle, CURLOPT_NOPROGRESS, 0L);
   if (!call.body.empty()) {
@@ -64,7 +64,7 @@
   }
 }
 
-/// The text of a completion chunk, in either of the two shapes.
+/// Returns the text of a completion chunk in either format, "text" or "delta".
 std::string ChunkText(const Json& chunk) {
   const Json choices = chunk.value("choices", Json::array());
   if (choices.empty()) {
@@ -78,7 +78,7 @@
   return delta.value("content", std::string());
 }
 
-std::string AnswerOf(const CallerView& view) {
+std::string ClassifyResponse(const CallerView& view) {
   if (!view.ended) {
     return "none";
   }
@@ -103,7 +103,7 @@
 }
 
 Caller::~Caller() {
-  this->HangUp();
+  this->Disconnect();
   this->thread.join();
 }
 
@@ -122,7 +122,7 @@
       this->OnEvent(event);
     }
   }
-  return !this->hung_up;
+  return !this->disconnected;
 }
 
 void Caller::RunOnce(const CallerCall& call) {
@@ -133,7 +133,7 @@
         curl_slist_append(headers, (header.name + ": " + header.value).c_str());
   }
   Transfer transfer{this, handle};
-  SetUp(handle, call, headers, &transfer);
+  ConfigureTransfer(handle, call, headers, &transfer);
   const CURLcode code = curl_easy_perform(handle);
   const bool connected = code != CURLE_COULDNT_CONNECT;
   const int status = StatusOf(handle);
@@ -144,8 +144,8 @@
 
 void Caller::Run(const CallerCall& call) {
   this->RunOnce(call);
-  while (call.comes_back && !this->HungUp()) {
-    const std::optional<double> wait = this->ToldToComeBack();
+  while (call.retries && !this->Disconnected()) {
+    const std::optional<double> wait = this->TakeRetryDelay();
     if (!wait) {
       return;
     }
@@ -154,7 +154,7 @@
   }
 }
 
-std::optional<double> Caller::ToldToComeBack() {
+std::optional<double> Caller::TakeRetryDelay() {
   const std::lock_guard<std::mutex> lock(this->mutex);
   const Json& problem = this->view.problem;
   const bool unknown = problem.is_object() &&
@@ -201,7 +201,7 @@
   if (body.is_object() && body.contains("code")) {
     this->view.problem = body;
   } else if (!body.is_discarded() && status == kOk) {
-    this->view.done = true;  // a whole answer in one piece
+    this->view.done = true;  // complete response without a stream
   }
 }
 
@@ -225,18 +225,18 @@
 }
 
 Json Observe(const CallerView& view) {
-  Json seen = {{"ended", view.ended},
-               {"status", view.status},
-               {"answer", AnswerOf(view)},
-               {"tokens", view.tokens.size()},
-               {"in_order", TokensInOrder(view)},
-               {"restarts", view.restarts}};
+  Json observed = {{"ended", view.ended},
+                   {"status", view.status},
+                   {"answer", ClassifyResponse(view)},
+                   {"tokens", view.tokens.size()},
+                   {"in_order", TokensInOrder(view)},
+                   {"restarts", view.restarts}};
   if (view.problem.is_object()) {
-    seen["code"] = view.problem.value("code", "");
-    seen["outcome"] = view.problem.value("outcome", "");
-    seen["retry_after"] = view.problem.contains("retry_after");
+    observed["code"] = view.problem.value("code", "");
+    observed["outcome"] = view.problem.value("outcome", "");
+    observed["retry_after"] = view.problem.contains("retry_after");
   }
-  return seen;
+  return observed;
 }
 
 }  // namespace limpetlink::scenario
--- a/tests/scenario/files.cc
+++ b/tests/scenario/files.cc
@@ -12,7 +12,7 @@
   std::ostringstream text;
   text << file.rdbuf();
   if (!file) {
-    return absl::NotFoundError(absl::StrCat(path, ": cannot be read"));
+    return absl::NotFoundError(absl::StrCat(path, ": cannot read file"));
   }
   return text.str();
 }
@@ -22,7 +22,7 @@
   file << text;
   file.close();
   if (!file) {
-    return absl::UnavailableError(absl::StrCat(path, ": cannot be written"));
+    return absl::UnavailableError(absl::StrCat(path, ": cannot write file"));
   }
   return absl::OkStatus();
 }
--- a/tests/scenario/files.h
+++ b/tests/scenario/files.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Whole files in and out.
+/// @brief Reads and writes complete files.
 #pragma once
 
 #include <string>
@@ -9,10 +9,12 @@
 
 namespace limpetlink::scenario {
 
-/// @brief Reads a file.
+/// @brief Reads a complete file.
+/// @return the contents, or NotFound if the file cannot be read
 absl::StatusOr<std::string> ReadFile(const std::string& path);
 
-/// @brief Writes a file.
+/// @brief Writes a file, replacing its contents.
+/// @return Unavailable if the file cannot be written
 absl::Status WriteFile(const std::string& path, const std::string& text);
 
 }  // namespace limpetlink::scenario
--- a/tests/scenario/matrix.cc
+++ b/tests/scenario/matrix.cc
@@ -22,7 +22,7 @@
           json.value("mend", Json::array())};
 }
 
-MatrixStep ReadMoment(const Json& json) {
+MatrixStep ReadStep(const Json& json) {
   return {json.at("step").get<std::string>(),
           json.value("has", std::vector<std::string>()),
           json.value("do", Json::array()),
@@ -34,22 +34,23 @@
   activity.name = json.at("activity").get<std::string>();
   activity.needs = json.at("needs").get<std::vector<std::string>>();
   activity.fleet = json.value("fleet", Json::object());
-  activity.end = json.at("end");
+  activity.final_steps = json.at("end");
   for (const Json& step : json.at("steps")) {
-    activity.steps.push_back(ReadMoment(step));
+    activity.steps.push_back(ReadStep(step));
   }
   return activity;
 }
 
-std::string ReasonAgainst(const MatrixFault& fault,
-                          const MatrixActivity& activity,
-                          const MatrixStep& step) {
-  if (!Contains(activity.needs, fault.touches)) {
-    return absl::StrCat("no ", fault.touches,
-                        " takes part in: ", activity.name);
+std::string NotApplicableReason(const MatrixFault& fault,
+                                const MatrixActivity& activity,
+                                const MatrixStep& step) {
+  if (!Contains(activity.needs, fault.role)) {
+    return absl::StrCat("no ", fault.role, " takes part in: ", activity.name);
   }
-  if (!fault.wants.empty() && !Contains(step.has, fault.wants)) {
-    return absl::StrCat("no ", fault.wants, " follows: ", step.name);
+  if (!fault.required_property.empty() &&
+      !Contains(step.properties, fault.required_property)) {
+    return absl::StrCat("no ", fault.required_property,
+                        " follows: ", step.name);
   }
   return "";
 }
@@ -58,29 +59,30 @@
   target->insert(target->end(), steps.begin(), steps.end());
 }
 
-/// Puts together the scenario of one cell.
-std::string WriteScenario(const std::string& name,
-                          const MatrixActivity& activity, std::size_t moment,
-                          const std::vector<const MatrixFault*>& faults) {
+/// Renders the scenario of one cell.
+std::string RenderScenario(const std::string& name,
+                           const MatrixActivity& activity,
+                           std::size_t step_index,
+                           const std::vector<const MatrixFault*>& faults) {
   Json steps = Json::array({{{"start", "all"}}});
-  for (std::size_t i = 0; i <= moment; ++i) {
+  for (std::size_t i = 0; i <= step_index; ++i) {
     Append(activity.steps[i].actions, &steps);
-    Append(activity.steps[i].reached, &steps);
+    Append(activity.steps[i].expectations, &steps);
   }
   const bool twice = faults.size() == 2 && faults[0] == faults[1];
   for (const MatrixFault* fault : faults) {
-    Append(fault->breaks, &steps);
+    Append(fault->inject_steps, &steps);
     if (twice && fault == faults.front()) {
-      Append(fault->mends, &steps);
+      Append(fault->clear_steps, &steps);
     }
   }
-  for (std::size_t i = moment + 1; i < activity.steps.size(); ++i) {
+  for (std::size_t i = step_index + 1; i < activity.steps.size(); ++i) {
     Append(activity.steps[i].actions, &steps);
   }
   for (const MatrixFault* fault : faults) {
-    Append(fault->mends, &steps);
+    Append(fault->clear_steps, &steps);
   }
-  Append(activity.end, &steps);
+  Append(activity.final_steps, &steps);
   const Json scenario = {{"scenario", name},
                          {"promise", "fault matrix"},
                          {"fleet", activity.fleet},
@@ -89,19 +91,19 @@
 }
 
 MatrixCell MakeCell(const std::vector<const MatrixFault*>& faults,
-                    const MatrixActivity& activity, std::size_t moment) {
+                    const MatrixActivity& activity, std::size_t step_index) {
   MatrixCell cell;
   cell.activity = activity.name;
-  cell.step = activity.steps[moment].name;
+  cell.step = activity.steps[step_index].name;
   for (const MatrixFault* fault : faults) {
     cell.faults.push_back(fault->name);
     if (cell.not_applicable.empty()) {
       cell.not_applicable =
-          ReasonAgainst(*fault, activity, activity.steps[moment]);
+          NotApplicableReason(*fault, activity, activity.steps[step_index]);
     }
   }
   if (cell.not_applicable.empty()) {
-    cell.scenario = WriteScenario(cell.Name(), activity, moment, faults);
+    cell.scenario = RenderScenario(cell.Name(), activity, step_index, faults);
   }
   return cell;
 }
@@ -129,7 +131,7 @@
   return found == states.end() ? CellState::kNotRun : found->second;
 }
 
-const char* MarkOf(CellState state) {
+const char* StateLabel(CellState state) {
   switch (state) {
     case CellState::kPassed:
       return "pass";
@@ -143,14 +145,15 @@
   return "-";
 }
 
-std::string FaultsOf(const MatrixCell& cell) {
+std::string FaultNames(const MatrixCell& cell) {
   return absl::StrJoin(cell.faults, " + ");
 }
 
 }  // namespace
 
 std::string MatrixCell::Name() const {
-  return absl::StrCat(FaultsOf(*this), " @ ", this->activity, ", ", this->step);
+  return absl::StrCat(FaultNames(*this), " @ ", this->activity, ", ",
+                      this->step);
 }
 
 absl::StatusOr<MatrixLists> ParseMatrixLists(std::string_view text) {
@@ -182,25 +185,25 @@
   return cells;
 }
 
-std::vector<MatrixCell> PickForShortRun(const std::vector<MatrixCell>& cells) {
+std::vector<MatrixCell> SelectShortRun(const std::vector<MatrixCell>& cells) {
   std::map<std::string, std::vector<const MatrixCell*>> groups;
-  std::vector<std::string> order;
+  std::vector<std::string> group_order;
   for (const MatrixCell& cell : cells) {
     if (cell.not_applicable.empty()) {
       const std::string key =
-          absl::StrCat(FaultsOf(cell), " @ ", cell.activity);
+          absl::StrCat(FaultNames(cell), " @ ", cell.activity);
       if (groups[key].empty()) {
-        order.push_back(key);
+        group_order.push_back(key);
       }
       groups[key].push_back(&cell);
     }
   }
-  std::vector<MatrixCell> picked;
-  for (std::size_t i = 0; i < order.size(); ++i) {
-    const auto& group = groups[order[i]];
-    picked.push_back(*group[i % group.size()]);
+  std::vector<MatrixCell> selected;
+  for (std::size_t i = 0; i < group_order.size(); ++i) {
+    const auto& group = groups[group_order[i]];
+    selected.push_back(*group[i % group.size()]);
   }
-  return picked;
+  return selected;
 }
 
 std::string RenderTable(const std::vector<MatrixCell>& cells,
@@ -209,13 +212,14 @@
   std::string last_row;
   std::map<std::string, int> reasons;
   for (const MatrixCell& cell : cells) {
-    const std::string row = absl::StrCat(FaultsOf(cell), " | ", cell.activity);
+    const std::string row =
+        absl::StrCat(FaultNames(cell), " | ", cell.activity);
     if (row != last_row) {
       absl::StrAppend(&table, last_row.empty() ? "" : "\n", row, ":");
       last_row = row;
     }
     const CellState state = StateOf(cell, states);
-    absl::StrAppend(&table, "  ", cell.step, " [", MarkOf(state), "]");
+    absl::StrAppend(&table, "  ", cell.step, " [", StateLabel(state), "]");
     if (state == CellState::kNotApplicable) {
       ++reasons[cell.not_applicable];
     }
@@ -234,7 +238,7 @@
     nlohmann::ordered_json row = {{"faults", cell.faults},
                                   {"activity", cell.activity},
                                   {"step", cell.step},
-                                  {"state", MarkOf(StateOf(cell, states))}};
+                                  {"state", StateLabel(StateOf(cell, states))}};
     if (!cell.not_applicable.empty()) {
       row["because"] = cell.not_applicable;
     }
--- a/tests/scenario/matrix.h
+++ b/tests/scenario/matrix.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief The fault matrix: every fault at every step, generated from two
-/// lists.
+/// @brief The fault matrix: combines each fault with each step of each
+/// activity.
 #pragma once
 
 #include <cstddef>
@@ -14,82 +14,88 @@
 
 namespace limpetlink::scenario {
 
-/// @brief A row: something that fails.
+/// @brief A fault; a row of the matrix.
 struct MatrixFault {
   std::string name;
-  std::string touches;    ///< the role that fails, as "engine"
-  std::string wants;      ///< what a step must have; empty: nothing
-  nlohmann::json breaks;  ///< steps of the scenario language
-  nlohmann::json mends;   ///< steps that end it
+  std::string role;  ///< role that fails, such as "engine"
+  /// Property that a step must have; empty: none.
+  std::string required_property;
+  nlohmann::json inject_steps;  ///< scenario steps that inject the fault
+  nlohmann::json clear_steps;   ///< scenario steps that clear the fault
 };
 
-/// @brief A moment of an activity, at which faults are put.
+/// @brief A point in an activity at which faults are injected.
 struct MatrixStep {
   std::string name;
-  std::vector<std::string> has;  ///< what faults may want, as "write"
-  nlohmann::json actions;        ///< steps that lead here
-  nlohmann::json reached;        ///< expectations that hold once here
+  /// Properties that faults may require, such as "write".
+  std::vector<std::string> properties;
+  nlohmann::json actions;       ///< scenario steps that lead to this point
+  nlohmann::json expectations;  ///< expectations that hold at this point
 };
 
-/// @brief A group of columns: one activity and its moments.
+/// @brief An activity and its steps; a group of columns of the matrix.
 struct MatrixActivity {
   std::string name;
   std::vector<std::string> needs;  ///< roles that take part
   nlohmann::json fleet;            ///< topology
   std::vector<MatrixStep> steps;
-  nlohmann::json end;  ///< steps after all faults are mended
+  nlohmann::json final_steps;  ///< scenario steps after all faults are cleared
 };
 
-/// @brief The two lists.
+/// @brief The input lists of the matrix.
 struct MatrixLists {
   std::vector<MatrixFault> faults;
   std::vector<MatrixActivity> activities;
 };
 
-/// @brief One cell: one or two faults at one moment.
+/// @brief A cell: one or two faults at one step of an activity.
 struct MatrixCell {
   std::vector<std::string> faults;
   std::string activity;
   std::string step;
-  std::string not_applicable;  ///< why the cell makes no sense; else empty
-  std::string scenario;        ///< JSON text of the scenario language
+  /// Reason why the cell is not applicable, or empty.
+  std::string not_applicable;
+  std::string scenario;  ///< scenario as JSON text; empty if not applicable
 
-  /// @return as "engine dies + platform down @ stream, tokens flow"
+  /// @return the unique name of the cell, such as
+  /// "engine dies + platform down @ stream, tokens flow"
   std::string Name() const;
 };
 
-/// @brief Which cells are wanted.
+/// @brief Which cells are generated.
 enum class MatrixExtent {
-  kSingles,  ///< one fault a cell
-  kPairs,    ///< two faults a cell, the same one twice among them
+  kSingles,  ///< one fault per cell
+  kPairs,    ///< two faults per cell, including the same fault twice
 };
 
-/// @brief Reads the two lists.
+/// @brief Parses the input lists.
 /// @param text JSON with "faults" and "activities"
-/// @return the lists, or what is wrong
+/// @return the lists, or InvalidArgument with the parser's message
 absl::StatusOr<MatrixLists> ParseMatrixLists(std::string_view text);
 
-/// @brief Generates every cell, the senseless ones with their reason.
-/// @note Complexity: faults (or pairs of them) times steps.
+/// @brief Generates all cells, including those that are not applicable.
+/// @note Complexity: number of faults (or pairs of faults) times steps.
 std::vector<MatrixCell> GenerateMatrix(const MatrixLists& lists,
                                        MatrixExtent extent);
 
-/// @brief Picks cells for a short run: for each fault one applicable cell of
-/// each activity, at a step that moves on from fault to fault.
-std::vector<MatrixCell> PickForShortRun(const std::vector<MatrixCell>& cells);
+/// @brief Selects cells for a short run: one applicable cell for each fault and
+/// activity, rotating through the applicable steps. The selection is
+/// deterministic.
+std::vector<MatrixCell> SelectShortRun(const std::vector<MatrixCell>& cells);
 
-/// @brief What became of a cell.
+/// @brief Result of a cell.
 enum class CellState { kNotRun, kPassed, kFailed, kNotApplicable };
 
-/// @brief Results by the cells' names.
+/// @brief Results by cell name.
 using CellStates = std::map<std::string, CellState>;
 
-/// @brief Renders single-fault results as a table, a row a fault and a column
-/// a step, followed by the reasons of the cells that make no sense.
+/// @brief Renders single-fault results as a table with one row per fault and
+/// activity and one column per step, followed by a count of the cells that are
+/// not applicable, by reason.
 std::string RenderTable(const std::vector<MatrixCell>& cells,
                         const CellStates& states);
 
-/// @brief Renders results as JSON.
+/// @brief Renders the results as a JSON list with one object per cell.
 nlohmann::ordered_json RenderJson(const std::vector<MatrixCell>& cells,
                                   const CellStates& states);
 
--- a/tests/scenario/matrix_main.cc
+++ b/tests/scenario/matrix_main.cc
@@ -19,7 +19,7 @@
   std::string lists;
   std::string logs = "matrix-logs";
   std::string output = "matrix.json";
-  std::string only;  ///< text that a cell's name must hold
+  std::string only;  ///< substring of the names of the cells to run
   bool pairs = false;
   bool short_run = false;
 };
@@ -46,9 +46,9 @@
   std::size_t number = 0;
   for (const MatrixCell& cell : cells) {
     const std::string name = cell.Name();
-    const bool wanted = cell.not_applicable.empty() &&
-                        name.find(settings.only) != std::string::npos;
-    if (wanted) {
+    const bool selected = cell.not_applicable.empty() &&
+                          name.find(settings.only) != std::string::npos;
+    if (selected) {
       states[name] = RunCell(cell, settings, ++number);
     }
   }
@@ -65,7 +65,7 @@
   const auto cells = GenerateMatrix(
       *lists, settings.pairs ? MatrixExtent::kPairs : MatrixExtent::kSingles);
   const CellStates states =
-      RunCells(settings.short_run ? PickForShortRun(cells) : cells, settings);
+      RunCells(settings.short_run ? SelectShortRun(cells) : cells, settings);
   std::cout << '\n' << RenderTable(cells, states);
   const absl::Status written =
       WriteFile(settings.output, RenderJson(cells, states).dump(1) + "\n");
@@ -86,11 +86,12 @@
             Requirement::kRequired)
       .Text("lists", "file with faults and activities", &settings.lists,
             Requirement::kRequired)
-      .Text("logs", "folder for what the processes print", &settings.logs)
+      .Text("logs", "folder for the logs of the processes", &settings.logs)
       .Text("output", "JSON file for the results", &settings.output)
-      .Text("only", "run cells whose name holds this text", &settings.only)
-      .Switch("pairs", "two faults in each cell", &settings.pairs)
-      .Switch("short", "the fixed choice for CI", &settings.short_run);
+      .Text("only", "run only cells whose name contains this text",
+            &settings.only)
+      .Switch("pairs", "run pairs of faults", &settings.pairs)
+      .Switch("short", "run the fixed selection for CI", &settings.short_run);
   if (const std::optional<int> code = parser.ParseOrExitCode(argc, argv)) {
     return *code;
   }
--- a/tests/scenario/process.cc
+++ b/tests/scenario/process.cc
@@ -22,7 +22,8 @@
 constexpr int kExecFailed = 127;
 constexpr int kLogMode = 0644;
 
-/// Runs in the child between fork and exec; only async-signal-safe calls.
+/// Runs in the child between fork and exec, so only async-signal-safe calls are
+/// allowed.
 [[noreturn]] void RunChild(char** arguments, const char* log, pid_t parent) {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (getppid() != parent) {
@@ -70,7 +71,7 @@
 absl::Status Process::Signal(int signal) {
   if (!this->Running()) {
     return absl::FailedPreconditionError(
-        absl::StrCat(this->command.front(), " does not run"));
+        absl::StrCat(this->command.front(), " is not running"));
   }
   if (kill(this->pid, signal) != 0) {
     return absl::InternalError(std::strerror(errno));
--- a/tests/scenario/process.h
+++ b/tests/scenario/process.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One child process of a scenario.
+/// @brief Child process that can be started, signalled and killed.
 #pragma once
 
 #include <sys/types.h>
@@ -13,31 +13,33 @@
 
 namespace limpetlink::scenario {
 
-/// @brief A program that can be started again after it ended. It is killed
-/// with its owner.
+/// @brief A restartable child process. It is killed by the destructor, and by
+/// the kernel if the parent dies.
 class Process {
  public:
   /// @param command program and arguments
-  /// @param log file that gets what the program prints
+  /// @param log file to which standard output and error are appended
   Process(std::vector<std::string> command, std::string log);
-  /// @brief Kills the program if it runs.
+  /// @brief Kills the process if it is running.
   ~Process();
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
-  /// @brief Starts the program; does nothing while it runs.
+  /// @brief Starts the process; does nothing if it is running.
   absl::Status Start();
 
-  /// @brief Sends a signal to the program, as SIGTERM.
+  /// @brief Sends a signal to the process, such as SIGTERM.
+  /// @return FailedPrecondition if the process is not running
   absl::Status Signal(int signal);
 
-  /// @brief Kills the program and waits for its end.
+  /// @brief Kills the process and waits until it has terminated.
   absl::Status Kill();
 
-  /// @return whether it was started and has not ended
+  /// @return true if the process was started and has not terminated
   bool Running();
 
-  /// @return how it ended last: its exit code, or 128 and the signal's number
+  /// @return the last exit code, or 128 plus the number of the signal that
+  /// terminated the process; std::nullopt before the first exit
   std::optional<int> ExitCode() const { return this->exit_code; }
 
  private:
--- a/tests/scenario/real_fleet.cc
+++ b/tests/scenario/real_fleet.cc
@@ -18,11 +18,11 @@
 constexpr char kFleetName[] = "scenario";
 constexpr char kPeerSecret[] = "scenario-peer-secret";
 constexpr char kOperatorKey[] = "scenario-operator-key";
-constexpr std::chrono::milliseconds kLookEvery{20};
-constexpr std::chrono::seconds kStartLimit{30};
+constexpr std::chrono::milliseconds kPollInterval{20};
+constexpr std::chrono::seconds kStartTimeout{30};
 constexpr std::uint32_t kFailureDomains = 3;
 
-std::string NameOf(Role role) {
+std::string RoleName(Role role) {
   switch (role) {
     case Role::kEngine:
       return "engine";
@@ -40,7 +40,7 @@
   return absl::StrCat("domain-", number % kFailureDomains + 1);
 }
 
-int SignalOf(ProcessVerb verb) {
+int SignalFor(ProcessVerb verb) {
   switch (verb) {
     case ProcessVerb::kFreeze:
       return SIGSTOP;
@@ -79,14 +79,18 @@
   this->appliers.clear();
 }
 
-Fleet RealFleet::Hooks() {
-  Fleet hooks;
-  hooks.set_up = [this](const Scenario& wanted) { return this->SetUp(wanted); };
+FleetHooks RealFleet::Hooks() {
+  FleetHooks hooks;
+  hooks.set_up = [this](const Scenario& scenario) {
+    return this->SetUp(scenario);
+  };
   hooks.process = [this](const ProcessStep& step) {
-    return this->OnProcess(step);
+    return this->ApplyProcessStep(step);
+  };
+  hooks.fault = [this](const FaultStep& step) {
+    return this->ApplyFaultStep(step);
   };
-  hooks.fault = [this](const FaultStep& step) { return this->OnFault(step); };
-  hooks.begin = [this](const RaceStep& step) { return this->Begin(step); };
+  hooks.begin = [this](const RaceStep& step) { return this->StartSteps(step); };
   hooks.observe = [this](const std::string& subject) {
     return this->ObserveSubject(subject);
   };
@@ -94,13 +98,13 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(
         SteadyClock::now().time_since_epoch());
   };
-  hooks.pause = [] { std::this_thread::sleep_for(kLookEvery); };
+  hooks.pause = [] { std::this_thread::sleep_for(kPollInterval); };
   return hooks;
 }
 
 absl::Status RealFleet::SetUp(const Scenario& scenario) {
   this->AddMembers(scenario.topology);
-  this->document = this->DocumentOf(scenario.topology);
+  this->document = this->BuildDocument(scenario.topology);
   const FleetParseResult checked = ParseFleet(WriteFleet(this->document));
   if (!checked.Ok()) {
     return absl::InternalError(checked.errors.front().pointer + " " +
@@ -131,19 +135,19 @@
                           std::uint16_t peer_port) {
   Member member;
   member.role = role;
-  member.name = NameOf(role);
+  member.name = RoleName(role);
   if (number > 0) {
     absl::StrAppend(&member.name, "-", number);
   }
   member.port = port;
   member.peer_port = peer_port;
   member.process = std::make_unique<Process>(
-      this->CommandOf(member),
+      this->CommandLine(member),
       absl::StrCat(this->paths.logs, "/", member.name, ".log"));
   this->members.push_back(std::move(member));
 }
 
-std::vector<std::string> RealFleet::CommandOf(const Member& member) const {
+std::vector<std::string> RealFleet::CommandLine(const Member& member) const {
   const std::string folder = this->paths.programs + "/";
   const std::string listen = member.Address();
   switch (member.role) {
@@ -188,7 +192,7 @@
           Sha256Hex(kOperatorKey)};
 }
 
-FleetDocument RealFleet::DocumentOf(const Topology& topology) const {
+FleetDocument RealFleet::BuildDocument(const Topology& topology) const {
   FleetDocument fleet;
   fleet.name = kFleetName;
   for (std::uint32_t i = 0; i < kFailureDomains; ++i) {
@@ -222,7 +226,7 @@
   return fleet;
 }
 
-absl::Status RealFleet::OnProcess(const ProcessStep& step) {
+absl::Status RealFleet::ApplyProcessStep(const ProcessStep& step) {
   if (step.verb == ProcessVerb::kStart && step.subject == "all") {
     return this->StartAll();
   }
@@ -237,13 +241,13 @@
         done = this->StartMember(member);
         break;
       case ProcessVerb::kKill:
-        this->KeepRecord(*member);
+        this->StoreRecord(*member);
         done = member->process->Kill();
         break;
       default:
         member->stopping = step.verb == ProcessVerb::kStop;
         done = member->process->Running()
-                   ? member->process->Signal(SignalOf(step.verb))
+                   ? member->process->Signal(SignalFor(step.verb))
                    : absl::OkStatus();
         break;
     }
@@ -270,7 +274,7 @@
     }
   }
   while (!first.Result()) {
-    std::this_thread::sleep_for(kLookEvery);
+    std::this_thread::sleep_for(kPollInterval);
   }
   if (first.Result()->outcome != ApplyOutcome::kApplied) {
     return absl::UnavailableError("the first document was not applied");
@@ -282,19 +286,19 @@
   }
   for (Member& member : this->members) {
     if (member.role == Role::kEntry && done.ok()) {
-      done = this->AwaitAnswer(member, "/readyz");
+      done = this->WaitUntilResponding(member, "/readyz");
     }
   }
   return done;
 }
 
 absl::Status RealFleet::StartMember(Member* member) {
-  const auto deadline = SteadyClock::now() + kStartLimit;
+  const auto deadline = SteadyClock::now() + kStartTimeout;
   while (member->stopping && member->process->Running()) {
     if (SteadyClock::now() >= deadline) {
-      return absl::DeadlineExceededError(member->name + " does not end");
+      return absl::DeadlineExceededError(member->name + " has not terminated");
     }
-    std::this_thread::sleep_for(kLookEvery);
+    std::this_thread::sleep_for(kPollInterval);
   }
   member->stopping = false;
   absl::Status started = member->process->Start();
@@ -302,32 +306,33 @@
     return started;
   }
   const bool entry = member->role == Role::kEntry;
-  return this->AwaitAnswer(*member, entry ? "/healthz" : "/v1/load");
+  return this->WaitUntilResponding(*member, entry ? "/healthz" : "/v1/load");
 }
 
-/// Waits until a process answers; a stand-in's 404 is an answer too.
-absl::Status RealFleet::AwaitAnswer(const Member& member,
-                                    const std::string& path) {
+/// Waits until a process responds. Any status is sufficient, except that
+/// /readyz must return 200: fakes respond with 404 to an unknown path.
+absl::Status RealFleet::WaitUntilResponding(const Member& member,
+                                            const std::string& path) {
   HttpCall call;
   call.id = CallId{1};
   call.method = "GET";
   call.url = "http://" + member.Address() + path;
   call.total_timeout = std::chrono::seconds(2);
   const bool must_be_ready = path == "/readyz";
-  const auto deadline = SteadyClock::now() + kStartLimit;
+  const auto deadline = SteadyClock::now() + kStartTimeout;
   while (SteadyClock::now() < deadline) {
-    const HttpResponse answer = ExchangeOverCurl(call);
-    const bool answered = answer.end == HttpEnd::kComplete;
-    if (answered && (!must_be_ready || answer.status == 200)) {
+    const HttpResponse response = ExchangeOverCurl(call);
+    const bool responded = response.end == HttpEnd::kComplete;
+    if (responded && (!must_be_ready || response.status == 200)) {
       return absl::OkStatus();
     }
     if (!member.process->Running()) {
-      return absl::UnavailableError(absl::StrCat(member.name, " ended with ",
+      return absl::UnavailableError(absl::StrCat(member.name, " exited with ",
                                                  *member.process->ExitCode()));
     }
-    std::this_thread::sleep_for(kLookEvery);
+    std::this_thread::sleep_for(kPollInterval);
   }
-  return absl::DeadlineExceededError(member.name + " does not answer");
+  return absl::DeadlineExceededError(member.name + " does not respond");
 }
 
 absl::Status RealFleet::AnnounceHosts() {
@@ -341,28 +346,29 @@
            {"leaving", false}});
     }
   }
-  const bool told =
+  const bool accepted =
       this->Post(this->members.front(), "/control/hosts", {{"hosts", hosts}});
-  return told ? absl::OkStatus()
-              : absl::UnavailableError("the platform takes no host list");
+  return accepted
+             ? absl::OkStatus()
+             : absl::UnavailableError("the platform rejected the host list");
 }
 
-absl::Status RealFleet::Begin(const RaceStep& race) {
+absl::Status RealFleet::StartSteps(const RaceStep& race) {
   for (const RacingStep& step : race.steps) {
     if (const auto* call = std::get_if<CallStep>(&step)) {
       const auto found = this->Find(call->to);
       if (!found.ok() || found->size() != 1) {
         return absl::InvalidArgumentError("no such host: " + call->to);
       }
-      this->BeginCall(*call);
+      this->StartCall(*call);
     } else {
-      this->BeginApply(std::get<ApplyStep>(step));
+      this->StartApply(std::get<ApplyStep>(step));
     }
   }
   return absl::OkStatus();
 }
 
-void RealFleet::BeginCall(const CallStep& step) {
+void RealFleet::StartCall(const CallStep& step) {
   CallerCall call;
   call.method = step.method;
   call.url = "http://" + this->Find(step.to)->front()->Address() + step.path;
@@ -376,17 +382,17 @@
     body.emplace("id", step.name);
     call.body = body.dump();
   }
-  if (!step.continues.empty()) {
-    const CallerView earlier = this->callers.at(step.continues)->View();
+  if (!step.resumed_call.empty()) {
+    const CallerView earlier = this->callers.at(step.resumed_call)->View();
     call.tokens = earlier.tokens;
     call.headers.push_back({"Last-Event-ID", earlier.last_event_id});
   }
-  call.comes_back = step.comes_back;
+  call.retries = step.retries;
   this->calls[step.name] = step;
   this->callers[step.name] = std::make_unique<Caller>(std::move(call));
 }
 
-void RealFleet::BeginApply(const ApplyStep& step) {
+void RealFleet::StartApply(const ApplyStep& step) {
   Json changed = Json::parse(WriteFleet(this->document));
   for (const auto& member : step.set.items()) {
     changed[Json::json_pointer(member.key())] = member.value();
--- a/tests/scenario/real_fleet.h
+++ b/tests/scenario/real_fleet.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A fleet of real processes on loopback for a scenario.
+/// @brief Runs a scenario against real processes on the loopback interface.
 #pragma once
 
 #include <cstdint>
@@ -19,29 +19,29 @@
 
 namespace limpetlink::scenario {
 
-/// @brief What a process of the fleet is.
+/// @brief Role of a process.
 enum class Role { kPlatform, kEngine, kService, kEntry };
 
 /// @brief One process of the fleet.
 struct Member {
-  std::string name;  ///< as "engine-2"
+  std::string name;  ///< such as "engine-2"
   Role role = Role::kPlatform;
   std::uint16_t port = 0;
-  std::uint16_t peer_port = 0;  ///< of entry hosts
+  std::uint16_t peer_port = 0;  ///< entry hosts only
   std::unique_ptr<Process> process;
-  bool stopping = false;  ///< told to end and perhaps not ended yet
+  bool stopping = false;  ///< SIGTERM was sent; may still be running
 
   /// @return "127.0.0.1:PORT"
   std::string Address() const;
 };
 
-/// @brief Where programs and logs are.
+/// @brief Folders of programs and logs.
 struct FleetPaths {
   std::string programs;  ///< folder with the binaries
-  std::string logs;      ///< folder for what processes print
+  std::string logs;      ///< folder for the output of the processes
 };
 
-/// @brief Starts, harms and observes real processes.
+/// @brief Starts processes, injects faults and observes the processes.
 /// @note Example:
 /// @code
 /// RealFleet fleet({"build/bin", "logs"});
@@ -54,26 +54,27 @@
   RealFleet(const RealFleet&) = delete;
   RealFleet& operator=(const RealFleet&) = delete;
 
-  /// @return the hooks for RunScenario; valid as long as this
-  Fleet Hooks();
+  /// @return the hooks for RunScenario(), valid as long as this object
+  FleetHooks Hooks();
 
  private:
   absl::Status SetUp(const Scenario& scenario);
   void AddMembers(const Topology& topology);
   void AddMember(Role role, std::uint32_t number, std::uint16_t port,
                  std::uint16_t peer_port);
-  std::vector<std::string> CommandOf(const Member& member) const;
-  FleetDocument DocumentOf(const Topology& topology) const;
+  std::vector<std::string> CommandLine(const Member& member) const;
+  FleetDocument BuildDocument(const Topology& topology) const;
 
-  absl::Status OnProcess(const ProcessStep& step);
+  absl::Status ApplyProcessStep(const ProcessStep& step);
   absl::Status StartAll();
   absl::Status StartMember(Member* member);
-  absl::Status AwaitAnswer(const Member& member, const std::string& path);
+  absl::Status WaitUntilResponding(const Member& member,
+                                   const std::string& path);
   absl::Status AnnounceHosts();
-  absl::Status OnFault(const FaultStep& step);
-  absl::Status Begin(const RaceStep& race);
-  void BeginCall(const CallStep& step);
-  void BeginApply(const ApplyStep& step);
+  absl::Status ApplyFaultStep(const FaultStep& step);
+  absl::Status StartSteps(const RaceStep& race);
+  void StartCall(const CallStep& step);
+  void StartApply(const ApplyStep& step);
 
   absl::StatusOr<std::vector<Member*>> Find(const std::string& subject);
   Member* BusyEngine();
@@ -86,8 +87,8 @@
   nlohmann::json ObserveEntries();
   nlohmann::json ObserveUpstreams(const std::vector<Member*>& members);
   nlohmann::json ObserveApplied() const;
-  nlohmann::json ObservePromises();
-  void KeepRecord(const Member& member);
+  nlohmann::json ObserveGuarantees();
+  void StoreRecord(const Member& member);
 
   FleetPaths paths;
   FleetDocument document;
@@ -95,9 +96,10 @@
   std::map<std::string, std::unique_ptr<Caller>> callers;
   std::map<std::string, CallStep> calls;
   std::map<std::string, std::unique_ptr<Applier>> appliers;
-  std::map<std::string, std::uint64_t> newest_seen;  ///< version by entry host
-  std::vector<std::string> reverted;                 ///< entry hosts
-  std::map<std::string, nlohmann::json> kept;  ///< records of ended upstreams
+  std::map<std::string, std::uint64_t> newest_versions;  ///< by entry host
+  std::vector<std::string> reverted_hosts;               ///< entry hosts
+  /// Records of killed upstreams, by name.
+  std::map<std::string, nlohmann::json> stored_records;
 };
 
 }  // namespace limpetlink::scenario
--- a/tests/scenario/real_fleet_faults.cc
+++ b/tests/scenario/real_fleet_faults.cc
@@ -9,14 +9,15 @@
 
 using Json = nlohmann::json;
 
-absl::Status Unfit(const FaultStep& step, const std::string& name) {
+absl::Status UnsupportedFault(const FaultStep& step, const std::string& name) {
   const std::string_view verb = ToText(step.verb);
-  return absl::InvalidArgumentError(absl::StrCat(
-      name, " has no fault ", absl::string_view(verb.data(), verb.size())));
+  return absl::InvalidArgumentError(
+      absl::StrCat(name, " does not support fault ",
+                   absl::string_view(verb.data(), verb.size())));
 }
 
-/// The body for a stand-in's /control/faults, or null when it has no such
-/// fault.
+/// Returns the body for /control/faults of the platform, or null if the fault
+/// is not supported.
 Json PlatformFault(const FaultStep& step) {
   switch (step.verb) {
     case FaultVerb::kStall:
@@ -25,10 +26,10 @@
     case FaultVerb::kOutage:
       return {{"outage", "refuse"}};
     case FaultVerb::kSlow:
-      return {{"delay_ms", step.ms}};
-    case FaultVerb::kLoseAnswer:
+      return {{"delay_ms", step.delay_ms}};
+    case FaultVerb::kLoseResponse:
       return {{"lose_answers", step.count}};
-    case FaultVerb::kMend:
+    case FaultVerb::kClearFaults:
       return {{"outage", "none"}, {"delay_ms", 0}, {"lose_answers", 0}};
     default:
       return nullptr;
@@ -39,7 +40,7 @@
   switch (step.verb) {
     case FaultVerb::kCut:
       return {{"fault", "cut_before"}, {"times", step.count}};
-    case FaultVerb::kLoseAnswer:
+    case FaultVerb::kLoseResponse:
       return {{"fault", "cut_after"}, {"times", step.count}};
     case FaultVerb::kStall:
       return {{"fault", "hang"}};
@@ -47,10 +48,10 @@
     case FaultVerb::kOutage:
       return {{"fault", "refuse"}};
     case FaultVerb::kSlow:
-      return {{"delay_ms", step.ms}};
+      return {{"delay_ms", step.delay_ms}};
     case FaultVerb::kReclaim:
       return {{"draining", true}};
-    case FaultVerb::kMend:
+    case FaultVerb::kClearFaults:
       return {{"fault", "none"}, {"delay_ms", 0}, {"draining", false}};
   }
   return nullptr;
@@ -66,21 +67,21 @@
     case FaultVerb::kOutage:
       return {{"refuse", true}};
     case FaultVerb::kSlow:
-      return {{"step_ms", step.ms}};
+      return {{"step_ms", step.delay_ms}};
     case FaultVerb::kReclaim:
       return {{"draining", true}};
-    case FaultVerb::kMend:
+    case FaultVerb::kClearFaults:
       return {{"stall", false},
               {"refuse", false},
               {"draining", false},
               {"cut_after", 0}};
-    case FaultVerb::kLoseAnswer:
+    case FaultVerb::kLoseResponse:
       break;
   }
   return nullptr;
 }
 
-Json FaultOf(const Member& member, const FaultStep& step) {
+Json FaultRequest(const Member& member, const FaultStep& step) {
   switch (member.role) {
     case Role::kPlatform:
       return PlatformFault(step);
@@ -94,7 +95,7 @@
   return nullptr;
 }
 
-bool InGroup(const Member& member, const std::string& group) {
+bool IsInGroup(const Member& member, const std::string& group) {
   switch (member.role) {
     case Role::kEngine:
       return group == "engines" || group == "upstreams" || group == "all";
@@ -110,19 +111,19 @@
 
 }  // namespace
 
-absl::Status RealFleet::OnFault(const FaultStep& step) {
+absl::Status RealFleet::ApplyFaultStep(const FaultStep& step) {
   const auto found = this->Find(step.subject);
   if (!found.ok()) {
     return found.status();
   }
   for (Member* member : *found) {
-    const Json body = FaultOf(*member, step);
+    const Json body = FaultRequest(*member, step);
     if (body.is_null()) {
-      return Unfit(step, member->name);
+      return UnsupportedFault(step, member->name);
     }
-    const bool told = this->Post(*member, "/control/faults", body);
-    if (!told && member->process->Running()) {
-      return absl::UnavailableError(member->name + " takes no fault");
+    const bool accepted = this->Post(*member, "/control/faults", body);
+    if (!accepted && member->process->Running()) {
+      return absl::UnavailableError(member->name + " rejected the fault");
     }
   }
   return absl::OkStatus();
@@ -141,17 +142,18 @@
     is_group = is_group || subject == group;
   }
   for (Member& member : this->members) {
-    if (member.name == subject || InGroup(member, subject)) {
+    if (member.name == subject || IsInGroup(member, subject)) {
       found.push_back(&member);
     }
   }
   if (found.empty() && !is_group) {
-    return absl::NotFoundError("there is no " + subject);
+    return absl::NotFoundError("unknown subject: " + subject);
   }
   return found;
 }
 
-/// The engine with a generation that is not done; else the first one.
+/// Returns the first engine with a running generation, or else the first
+/// engine.
 Member* RealFleet::BusyEngine() {
   Member* first = nullptr;
   for (Member& member : this->members) {
@@ -173,8 +175,8 @@
   call.method = "GET";
   call.url = "http://" + member.Address() + path;
   call.total_timeout = std::chrono::seconds(1);
-  const HttpResponse answer = ExchangeOverCurl(call);
-  const Json body = Json::parse(answer.body, nullptr, false);
+  const HttpResponse response = ExchangeOverCurl(call);
+  const Json body = Json::parse(response.body, nullptr, false);
   return body.is_discarded() ? Json() : body;
 }
 
@@ -186,8 +188,8 @@
   call.url = "http://" + member.Address() + path;
   call.body = body.dump();
   call.total_timeout = std::chrono::seconds(2);
-  const HttpResponse answer = ExchangeOverCurl(call);
-  return answer.end == HttpEnd::kComplete && answer.status == 200;
+  const HttpResponse response = ExchangeOverCurl(call);
+  return response.end == HttpEnd::kComplete && response.status == 200;
 }
 
 }  // namespace limpetlink::scenario
--- a/tests/scenario/real_fleet_observe.cc
+++ b/tests/scenario/real_fleet_observe.cc
@@ -11,7 +11,7 @@
 
 using Json = nlohmann::json;
 
-constexpr char kLiveHostsOf[] = "live-hosts-of-";
+constexpr char kLiveHostsPrefix[] = "live-hosts-of-";
 
 }  // namespace
 
@@ -25,7 +25,7 @@
     return applier->second->Observe();
   }
   if (subject == "promises") {
-    return this->ObservePromises();
+    return this->ObserveGuarantees();
   }
   if (subject == "applied-changes") {
     return this->ObserveApplied();
@@ -33,9 +33,9 @@
   if (subject == "entries" || subject == "newest-version") {
     return this->ObserveEntries();
   }
-  if (absl::StartsWith(subject, kLiveHostsOf)) {
+  if (absl::StartsWith(subject, kLiveHostsPrefix)) {
     const auto found =
-        this->Find(subject.substr(std::string(kLiveHostsOf).size()));
+        this->Find(subject.substr(std::string(kLiveHostsPrefix).size()));
     return found.ok() ? this->ObserveEntry(found->front())["live"] : Json();
   }
   const auto found = this->Find(subject);
@@ -48,13 +48,13 @@
 }
 
 Json RealFleet::ObserveEntry(Member* member) {
-  Json seen = {{"running", member->process->Running()}};
+  Json observed = {{"running", member->process->Running()}};
   if (member->process->ExitCode()) {
-    seen["exit_code"] = *member->process->ExitCode();
+    observed["exit_code"] = *member->process->ExitCode();
   }
   const Json status = this->Get(*member, "/v1/status");
-  seen["answers"] = status.is_object();
-  seen["ready"] = status.is_object() && status.value("ready", false);
+  observed["answers"] = status.is_object();
+  observed["ready"] = status.is_object() && status.value("ready", false);
   Json live = Json::object();
   for (const Member& other : this->members) {
     if (other.role == Role::kEntry) {
@@ -63,19 +63,19 @@
   }
   if (status.is_object()) {
     const auto version = status.value("fleet_version", std::uint64_t{0});
-    seen["version"] = version;
-    seen["draining"] = status.value("draining", false);
+    observed["version"] = version;
+    observed["draining"] = status.value("draining", false);
     for (const Json& host : status.value("live_hosts", Json::array())) {
       live[host.get<std::string>()] = true;
     }
-    std::uint64_t& newest = this->newest_seen[member->name];
-    if (seen["ready"] == true && version < newest) {
-      this->reverted.push_back(member->name);
+    std::uint64_t& newest = this->newest_versions[member->name];
+    if (observed["ready"] == true && version < newest) {
+      this->reverted_hosts.push_back(member->name);
     }
     newest = std::max(newest, version);
   }
-  seen["live"] = live;
-  return seen;
+  observed["live"] = live;
+  return observed;
 }
 
 Json RealFleet::ObserveEntries() {
@@ -83,9 +83,9 @@
   bool all_ready = true;
   for (Member& member : this->members) {
     if (member.role == Role::kEntry) {
-      const Json seen = this->ObserveEntry(&member);
-      all_ready = all_ready && seen["ready"] == true;
-      versions.insert(seen.value("version", std::uint64_t{0}));
+      const Json observed = this->ObserveEntry(&member);
+      all_ready = all_ready && observed["ready"] == true;
+      versions.insert(observed.value("version", std::uint64_t{0}));
     }
   }
   return {{"all_ready", all_ready},
@@ -93,8 +93,8 @@
           {"version", versions.empty() ? 0 : *versions.rbegin()}};
 }
 
-/// Keeps what an upstream recorded, since it is lost with the process.
-void RealFleet::KeepRecord(const Member& member) {
+/// Stores the records of an upstream, which are lost when the process ends.
+void RealFleet::StoreRecord(const Member& member) {
   const bool service = member.role == Role::kService;
   if (!service && member.role != Role::kEngine) {
     return;
@@ -105,7 +105,7 @@
   if (!record.is_object()) {
     return;
   }
-  Json& all = this->kept[member.name];
+  Json& all = this->stored_records[member.name];
   for (const Json& row : record.value(list, Json::array())) {
     all.push_back(row);
   }
@@ -124,7 +124,7 @@
           record.value(service ? "executions" : "started", Json::array());
       received += list.size();
     }
-    received += this->kept[member->name].size();
+    received += this->stored_records[member->name].size();
     const Json load = this->Get(*member, "/v1/load");
     if (load.is_object()) {
       at_version_2 += load.value("version", "") == "2" ? 1 : 0;
@@ -137,24 +137,24 @@
 }
 
 Json RealFleet::ObserveApplied() const {
-  Json seen = Json::object();
+  Json observed = Json::object();
   for (const auto& [name, applier] : this->appliers) {
     const auto result = applier->Result();
     const std::string key = absl::StrCat("at-base-", applier->BaseVersion());
     const bool applied = result && result->outcome == ApplyOutcome::kApplied;
-    seen[key] = seen.value(key, 0) + (applied ? 1 : 0);
+    observed[key] = observed.value(key, 0) + (applied ? 1 : 0);
   }
-  return seen;
+  return observed;
 }
 
-Json RealFleet::ObservePromises() {
-  PromiseEvidence evidence;
+Json RealFleet::ObserveGuarantees() {
+  GuaranteeEvidence evidence;
   for (const Member& member : this->members) {
     const bool service = member.role == Role::kService;
     if (!service && member.role != Role::kEngine) {
       continue;
     }
-    Json rows = this->kept[member.name];
+    Json rows = this->stored_records[member.name];
     const Json record =
         this->Get(member, service ? "/control/executions" : "/control/record");
     if (record.is_object()) {
@@ -177,9 +177,9 @@
       evidence.applied_bases.push_back(applier->BaseVersion());
     }
   }
-  evidence.reverted_hosts = this->reverted;
-  const std::vector<std::string> broken = BrokenPromises(evidence);
-  return {{"broken", broken.size()}, {"which", broken}};
+  evidence.reverted_hosts = this->reverted_hosts;
+  const std::vector<std::string> violations = FindViolations(evidence);
+  return {{"broken", violations.size()}, {"which", violations}};
 }
 
 }  // namespace limpetlink::scenario
--- a/tests/scenario/runner.cc
+++ b/tests/scenario/runner.cc
@@ -5,10 +5,10 @@
 namespace limpetlink::scenario {
 namespace {
 
-/// Carries out one step of any kind.
+/// Runs one step of any type.
 class StepRunner {
  public:
-  explicit StepRunner(const Fleet& fleet) : fleet(fleet) {}
+  explicit StepRunner(const FleetHooks& fleet) : fleet(fleet) {}
 
   absl::Status operator()(const ProcessStep& step) const {
     return this->fleet.process(step);
@@ -39,20 +39,20 @@
       }
       if (this->fleet.now() >= deadline) {
         return absl::DeadlineExceededError(
-            absl::StrCat("seen of ", step.subject, ": ", observed.dump()));
+            absl::StrCat("observed for ", step.subject, ": ", observed.dump()));
       }
       this->fleet.pause();
     }
   }
 
  private:
-  const Fleet& fleet;
+  const FleetHooks& fleet;
 };
 
 }  // namespace
 
 ScenarioResult RunScenario(
-    const Scenario& scenario, const Fleet& fleet,
+    const Scenario& scenario, const FleetHooks& fleet,
     const std::function<void(const std::string& line)>& report) {
   ScenarioResult result;
   const absl::Status ready = fleet.set_up(scenario);
@@ -63,12 +63,12 @@
   for (std::size_t i = 0; i < scenario.steps.size(); ++i) {
     const absl::Status done = std::visit(StepRunner(fleet), scenario.steps[i]);
     if (!done.ok()) {
-      result.problem = absl::StrCat("step ", i + 1, " ", scenario.lines[i],
+      result.problem = absl::StrCat("step ", i + 1, " ", scenario.step_texts[i],
                                     ": ", done.message());
       return result;
     }
     ++result.steps_done;
-    report(scenario.lines[i]);
+    report(scenario.step_texts[i]);
   }
   result.passed = true;
   return result;
--- a/tests/scenario/runner.h
+++ b/tests/scenario/runner.h
@@ -13,33 +13,33 @@
 
 namespace limpetlink::scenario {
 
-/// @brief What a scenario acts on. Every hook but `pause` returns once its
-/// effect is begun; `observe` says what came of it.
-struct Fleet {
+/// @brief Access to the processes under test. Every hook except `pause` returns
+/// once its effect has started; `observe` returns the state it has led to.
+struct FleetHooks {
   std::function<absl::Status(const Scenario& scenario)> set_up;
   std::function<absl::Status(const ProcessStep& step)> process;
   std::function<absl::Status(const FaultStep& step)> fault;
   std::function<absl::Status(const RaceStep& steps)> begin;
-  /// The subject as it is now, or null when there is nothing to see.
+  /// Returns the current state of the subject; null if it is unknown.
   std::function<nlohmann::json(const std::string& subject)> observe;
   std::function<std::chrono::milliseconds()> now;
-  std::function<void()> pause;  ///< between two looks
+  std::function<void()> pause;  ///< waits between two observations
 };
 
-/// @brief How a scenario ended.
+/// @brief Result of a scenario.
 struct ScenarioResult {
   bool passed = false;
   std::size_t steps_done = 0;
-  std::string problem;  ///< the step that failed and what was seen
+  std::string problem;  ///< the failed step and the last observation
 };
 
-/// @brief Runs all steps in order; each waits for its condition, none for a
+/// @brief Runs all steps in order. Steps wait for conditions, never for a fixed
 /// time.
-/// @param scenario as read by ParseScenario
-/// @param fleet what to act on
-/// @param report called with each step's JSON once the step is done
+/// @param scenario a scenario returned by ParseScenario()
+/// @param fleet access to the processes under test
+/// @param report called with the JSON of each step after the step has succeeded
 ScenarioResult RunScenario(
-    const Scenario& scenario, const Fleet& fleet,
+    const Scenario& scenario, const FleetHooks& fleet,
     const std::function<void(const std::string& line)>& report);
 
 }  // namespace limpetlink::scenario
--- a/tests/scenario/scenario.cc
+++ b/tests/scenario/scenario.cc
@@ -7,24 +7,24 @@
 
 using Json = nlohmann::json;
 
-/// Reads one step's members and collects its faults.
+/// Reads the members of one JSON object and collects validation errors.
 class StepReader {
  public:
-  StepReader(const Json& json, std::string place,
-             std::vector<std::string>* faults)
-      : json(json), place(std::move(place)), faults(faults) {}
+  StepReader(const Json& json, std::string pointer,
+             std::vector<std::string>* errors)
+      : json(json), pointer(std::move(pointer)), errors(errors) {}
 
   std::string Text(const char* member, bool required = false) {
-    return this->Read<std::string>(member, required, "a text",
+    return this->Read<std::string>(member, required, "a string",
                                    [](const Json& v) { return v.is_string(); });
   }
 
-  std::uint32_t Count(const char* member, std::uint32_t standard) {
+  std::uint32_t Count(const char* member, std::uint32_t default_value) {
     if (!this->json.contains(member)) {
-      return standard;
+      return default_value;
     }
     return this->Read<std::uint32_t>(
-        member, true, "a whole number",
+        member, true, "an unsigned integer",
         [](const Json& v) { return v.is_number_unsigned(); });
   }
 
@@ -34,32 +34,33 @@
     return value.is_null() ? Json::object() : value;
   }
 
-  void Fault(const std::string& message) {
-    this->faults->push_back(this->place + ": " + message);
+  void AddError(const std::string& message) {
+    this->errors->push_back(this->pointer + ": " + message);
   }
 
   const Json& Value() const { return this->json; }
 
  private:
-  template <typename T, typename Fits>
-  T Read(const char* member, bool required, const char* what, Fits fits) {
+  template <typename T, typename IsValid>
+  T Read(const char* member, bool required, const char* expected_type,
+         IsValid is_valid) {
     const auto found = this->json.find(member);
     if (found == this->json.end()) {
       if (required) {
-        this->Fault(std::string(member) + " is missing");
+        this->AddError(std::string(member) + " is missing");
       }
       return T();
     }
-    if (!fits(*found)) {
-      this->Fault(std::string(member) + " must be " + what);
+    if (!is_valid(*found)) {
+      this->AddError(std::string(member) + " must be " + expected_type);
       return T();
     }
     return found->template get<T>();
   }
 
   const Json& json;
-  std::string place;
-  std::vector<std::string>* faults;
+  std::string pointer;
+  std::vector<std::string>* errors;
 };
 
 CallStep ReadCall(StepReader* reader) {
@@ -70,8 +71,8 @@
   call.path = reader->Text("path", true);
   call.headers = reader->Object("headers");
   call.body = reader->Value().value("body", Json());
-  call.continues = reader->Text("continues");
-  call.comes_back = reader->Value().value("comes_back", false);
+  call.resumed_call = reader->Text("continues");
+  call.retries = reader->Value().value("comes_back", false);
   if (call.method.empty()) {
     call.method = "POST";
   }
@@ -92,39 +93,39 @@
   expect.expected = reader->Value();
   expect.expected.erase("expect");
   expect.expected.erase("within_s");
-  const auto standard =
+  const auto default_value =
       std::chrono::duration_cast<std::chrono::seconds>(ExpectStep().within);
-  expect.within = std::chrono::seconds(
-      reader->Count("within_s", static_cast<std::uint32_t>(standard.count())));
+  expect.within = std::chrono::seconds(reader->Count(
+      "within_s", static_cast<std::uint32_t>(default_value.count())));
   if (expect.expected.empty()) {
-    reader->Fault("nothing is expected");
+    reader->AddError("has no expectation");
   }
   return expect;
 }
 
-RaceStep ReadRace(const Json& json, const std::string& place,
-                  std::vector<std::string>* faults) {
+RaceStep ReadRace(const Json& json, const std::string& pointer,
+                  std::vector<std::string>* errors) {
   RaceStep race;
   const Json& list = json.at("race");
   for (std::size_t i = 0; list.is_array() && i < list.size(); ++i) {
-    StepReader reader(list[i], place + "/race/" + std::to_string(i), faults);
+    StepReader reader(list[i], pointer + "/race/" + std::to_string(i), errors);
     if (list[i].contains("call")) {
       race.steps.emplace_back(ReadCall(&reader));
     } else if (list[i].contains("apply")) {
       race.steps.emplace_back(ReadApply(&reader));
     } else {
-      reader.Fault("only call and apply can race");
+      reader.AddError("only call and apply can race");
     }
   }
   if (race.steps.size() < 2) {
-    faults->push_back(place + ": a race needs at least two steps");
+    errors->push_back(pointer + ": a race needs at least two steps");
   }
   return race;
 }
 
-/// Finds the enum value whose name is a member of the step.
+/// Returns the enum value whose name is a member of the step.
 template <typename Enum>
-std::optional<Enum> VerbOf(const Json& json) {
+std::optional<Enum> FindVerb(const Json& json) {
   for (const auto& row : EnumTable<Enum>::kRows) {
     if (json.contains(std::string(row.name))) {
       return row.value;
@@ -133,11 +134,11 @@
   return std::nullopt;
 }
 
-std::optional<Step> ReadStep(const Json& json, const std::string& place,
-                             std::vector<std::string>* faults) {
-  StepReader reader(json, place, faults);
+std::optional<Step> ReadStep(const Json& json, const std::string& pointer,
+                             std::vector<std::string>* errors) {
+  StepReader reader(json, pointer, errors);
   if (!json.is_object()) {
-    reader.Fault("must be an object");
+    reader.AddError("must be an object");
     return std::nullopt;
   }
   if (json.contains("call")) {
@@ -150,31 +151,31 @@
     return ReadExpect(&reader);
   }
   if (json.contains("race")) {
-    return ReadRace(json, place, faults);
+    return ReadRace(json, pointer, errors);
   }
-  if (const auto verb = VerbOf<ProcessVerb>(json)) {
+  if (const auto verb = FindVerb<ProcessVerb>(json)) {
     const std::string name(ToText(*verb));
     return ProcessStep{*verb, reader.Text(name.c_str(), true)};
   }
-  if (const auto verb = VerbOf<FaultVerb>(json)) {
+  if (const auto verb = FindVerb<FaultVerb>(json)) {
     const std::string name(ToText(*verb));
     return FaultStep{*verb, reader.Text(name.c_str(), true),
                      reader.Count("ms", 0), reader.Count("count", 1)};
   }
-  reader.Fault("has no known verb");
+  reader.AddError("has no known verb");
   return std::nullopt;
 }
 
-bool MatchesBounds(const Json& expected, const Json& observed) {
+bool MatchesRange(const Json& expected, const Json& observed) {
   if (!observed.is_number()) {
     return false;
   }
   const double value = observed.get<double>();
-  const bool enough =
+  const bool at_least =
       !expected.contains("least") || value >= expected["least"].get<double>();
-  const bool not_more =
+  const bool at_most =
       !expected.contains("most") || value <= expected["most"].get<double>();
-  return enough && not_more;
+  return at_least && at_most;
 }
 
 }  // namespace
@@ -183,29 +184,29 @@
   ScenarioParseResult result;
   const Json json = Json::parse(text, nullptr, false);
   if (!json.is_object()) {
-    result.faults.emplace_back("/: is not a JSON object");
+    result.errors.emplace_back("/: is not a JSON object");
     return result;
   }
-  StepReader reader(json, "/", &result.faults);
+  StepReader reader(json, "/", &result.errors);
   Scenario& scenario = result.scenario;
   scenario.name = reader.Text("scenario", true);
-  scenario.promise = reader.Text("promise", true);
+  scenario.guarantee = reader.Text("promise", true);
   const Json fleet = reader.Object("fleet");
-  StepReader topology(fleet, "/fleet", &result.faults);
+  StepReader topology(fleet, "/fleet", &result.errors);
   scenario.topology.entries = topology.Count("entries", 2);
   scenario.topology.engines = topology.Count("engines", 3);
   scenario.topology.services = topology.Count("services", 1);
   const Json steps = json.value("steps", Json::array());
   for (std::size_t i = 0; i < steps.size(); ++i) {
-    const std::string place = "/steps/" + std::to_string(i);
-    const auto step = ReadStep(steps[i], place, &result.faults);
+    const std::string pointer = "/steps/" + std::to_string(i);
+    const auto step = ReadStep(steps[i], pointer, &result.errors);
     if (step) {
       scenario.steps.push_back(*step);
-      scenario.lines.push_back(steps[i].dump());
+      scenario.step_texts.push_back(steps[i].dump());
     }
   }
   if (steps.empty()) {
-    result.faults.emplace_back("/steps: there are none");
+    result.errors.emplace_back("/steps: is missing or empty");
   }
   return result;
 }
@@ -223,7 +224,7 @@
     return expected == observed;
   }
   if (expected.contains("least") || expected.contains("most")) {
-    return MatchesBounds(expected, observed);
+    return MatchesRange(expected, observed);
   }
   for (const auto& member : expected.items()) {
     const bool present =
--- a/tests/scenario/scenario.h
+++ b/tests/scenario/scenario.h
@@ -1,5 +1,6 @@
 /// @file
-/// @brief The scenario language: what a scenario says, read from JSON.
+/// @brief The scenario language: parses scenario files and compares
+/// observations with expectations.
 #pragma once
 
 #include <chrono>
@@ -15,107 +16,108 @@
 
 namespace limpetlink::scenario {
 
-/// @brief What is done to a process.
+/// @brief Action on a process.
 enum class ProcessVerb { kStart, kStop, kKill, kFreeze, kThaw };
 
-/// @brief What is done to a stand-in's links and answers.
+/// @brief Fault injected into the links or responses of a fake.
 enum class FaultVerb {
-  kCut,         ///< break its open connections
-  kStall,       ///< keep connections open, move no bytes
-  kSlow,        ///< delay each answer by `ms`
-  kRefuse,      ///< say that it does not run requests
-  kOutage,      ///< answer nothing but errors
-  kLoseAnswer,  ///< carry out the next `count` writes and cut the answer
-  kReclaim,     ///< announce that it leaves
-  kMend,        ///< end all faults
+  kCut,           ///< aborts its open connections
+  kStall,         ///< keeps connections open, transfers no bytes
+  kSlow,          ///< delays each response by `delay_ms`
+  kRefuse,        ///< rejects requests as not run
+  kOutage,        ///< responds only with errors
+  kLoseResponse,  ///< executes the next `count` writes, drops the response
+  kReclaim,       ///< reports that it is leaving
+  kClearFaults,   ///< clears all faults
 };
 
-/// @brief Starts, ends, stops or resumes a process.
+/// @brief Starts, stops, kills, freezes or thaws processes.
 struct ProcessStep {
   ProcessVerb verb = ProcessVerb::kStart;
-  std::string subject;  ///< as "entry-1", or a group as "all" or "entries"
+  std::string subject;  ///< "entry-1", or a group such as "all" or "entries"
 };
 
-/// @brief Puts a fault on a stand-in.
+/// @brief Injects a fault into a fake.
 struct FaultStep {
   FaultVerb verb = FaultVerb::kCut;
-  std::string subject;      ///< as "engine-1" or "platform"
-  std::uint32_t ms = 0;     ///< for kSlow
-  std::uint32_t count = 1;  ///< for kLoseAnswer
+  std::string subject;         ///< such as "engine-1" or "platform"
+  std::uint32_t delay_ms = 0;  ///< for kSlow, in milliseconds
+  std::uint32_t count = 1;     ///< for kLoseResponse and kCut
 };
 
-/// @brief Sends a caller's request; its answer is read in the background.
+/// @brief Sends a request; a background thread reads the response.
 struct CallStep {
-  std::string name;    ///< by which later steps speak of it
+  std::string name;    ///< by which later steps refer to the call
   std::string to;      ///< entry host
-  std::string method;  ///< "POST" when left out
+  std::string method;  ///< default: "POST"
   std::string path;
   nlohmann::json headers = nlohmann::json::object();
   nlohmann::json body;
-  std::string continues;  ///< call whose stream is taken up; empty: none
-  bool comes_back =
-      false;  ///< asks again, as Retry-After says, while the outcome is unknown
+  std::string resumed_call;  ///< call whose stream is resumed; empty: none
+  bool retries = false;      ///< repeats the call after Retry-After while the
+                             ///< outcome is unknown
 };
 
-/// @brief Puts a changed fleet document in force; runs in the background.
+/// @brief Applies a changed fleet document in the background.
 struct ApplyStep {
   std::string name;
   std::uint64_t base_version = 0;
   nlohmann::json set = nlohmann::json::object();  ///< JSON pointer -> value
 };
 
-/// @brief Waits until a subject's observation matches.
+/// @brief Waits until the observation of a subject matches, or times out.
 struct ExpectStep {
   std::string subject;
-  nlohmann::json expected;  ///< see Matches
+  nlohmann::json expected;  ///< format: see Matches()
   std::chrono::milliseconds within{20000};
 };
 
-/// @brief A step that can run beside others.
+/// @brief A step that can run concurrently with others.
 using RacingStep = std::variant<CallStep, ApplyStep>;
 
-/// @brief Begins several calls and changes at the same moment.
+/// @brief Starts several calls and changes at the same time.
 struct RaceStep {
   std::vector<RacingStep> steps;
 };
 
-/// @brief One step.
+/// @brief One step of a scenario.
 using Step = std::variant<ProcessStep, FaultStep, CallStep, ApplyStep,
                           ExpectStep, RaceStep>;
 
-/// @brief How many of each process a scenario wants.
+/// @brief Number of processes of each role.
 struct Topology {
   std::uint32_t entries = 2;
   std::uint32_t engines = 3;
   std::uint32_t services = 1;
 };
 
-/// @brief A scenario.
+/// @brief A parsed scenario.
 struct Scenario {
-  std::string name;     ///< subject, condition, result
-  std::string promise;  ///< name of the promise that it proves
+  std::string name;       ///< subject, condition, result
+  std::string guarantee;  ///< name of the guarantee under test
   Topology topology;
   std::vector<Step> steps;
-  std::vector<std::string> lines;  ///< each step's JSON, for the report
+  std::vector<std::string> step_texts;  ///< JSON of each step, for the report
 };
 
-/// @brief A scenario or what is wrong with its text.
+/// @brief A scenario, or the validation errors of its text.
 struct ScenarioParseResult {
   Scenario scenario;
-  std::vector<std::string> faults;  ///< "/steps/3: message"
+  std::vector<std::string> errors;  ///< as "/steps/3: message"
 };
 
-/// @brief Reads a scenario.
+/// @brief Parses a scenario.
 /// @param text JSON
-/// @return the scenario, or all faults at once
+/// @return the scenario, or all validation errors; usable only if `errors` is
+/// empty
 ScenarioParseResult ParseScenario(std::string_view text);
 
-/// @brief Compares an observation with what is expected.
-/// @param expected a value that must be equal; a list of which one must match;
-/// {"least": n}, {"most": n} or both for numbers; another object whose members
-/// must each match
-/// @param observed what was seen
-/// @return whether it matches
+/// @brief Compares an observation with an expectation.
+/// @param expected a value that must be equal; a list of which any element must
+/// match; {"least": n}, {"most": n} or both as inclusive limits of a number; or
+/// an object whose members must all match
+/// @param observed the observation; members that are not expected are ignored
+/// @return true if the observation matches
 bool Matches(const nlohmann::json& expected, const nlohmann::json& observed);
 
 }  // namespace limpetlink::scenario
@@ -140,9 +142,9 @@
       {scenario::FaultVerb::kSlow, "slow"},
       {scenario::FaultVerb::kRefuse, "refuse"},
       {scenario::FaultVerb::kOutage, "outage"},
-      {scenario::FaultVerb::kLoseAnswer, "lose-answer"},
+      {scenario::FaultVerb::kLoseResponse, "lose-answer"},
       {scenario::FaultVerb::kReclaim, "reclaim"},
-      {scenario::FaultVerb::kMend, "mend"}};
+      {scenario::FaultVerb::kClearFaults, "mend"}};
 };
 
 }  // namespace limpetlink
--- a/tests/scenario/scenario_main.cc
+++ b/tests/scenario/scenario_main.cc
@@ -12,7 +12,7 @@
 namespace limpetlink::scenario {
 namespace {
 
-/// Runs one file; tells each step on standard output.
+/// Runs one scenario file and prints each completed step.
 bool RunFile(const std::string& path, const FleetPaths& paths) {
   const auto text = ReadFile(path);
   if (!text.ok()) {
@@ -20,10 +20,10 @@
     return false;
   }
   const ScenarioParseResult parsed = ParseScenario(*text);
-  for (const std::string& fault : parsed.faults) {
-    std::cerr << path << ": " << fault << '\n';
+  for (const std::string& error : parsed.errors) {
+    std::cerr << path << ": " << error << '\n';
   }
-  if (!parsed.faults.empty()) {
+  if (!parsed.errors.empty()) {
     return false;
   }
   std::cout << parsed.scenario.name << '\n';
@@ -50,7 +50,7 @@
   parser
       .Text("programs", "folder with the programs", &programs,
             Requirement::kRequired)
-      .Text("logs", "folder for what the processes print", &logs)
+      .Text("logs", "folder for the logs of the processes", &logs)
       .Operands("FILE...", &files);
   if (const std::optional<int> code = parser.ParseOrExitCode(argc, argv)) {
     return *code;
--- a/tests/scenario/tests/matrix_test.cc
+++ b/tests/scenario/tests/matrix_test.cc
@@ -11,10 +11,10 @@
 namespace limpetlink::scenario {
 namespace {
 
-/// The delivered lists.
-class FaultMatrix {
+/// Loads the lists in matrix.json.
+class FaultMatrixTest {
  protected:
-  FaultMatrix() {
+  FaultMatrixTest() {
     std::ifstream file(LIMPETLINK_MATRIX);
     std::ostringstream text;
     text << file.rdbuf();
@@ -26,8 +26,8 @@
   MatrixLists lists;
 };
 
-TEST_CASE_METHOD(FaultMatrix,
-                 "matrix, generated, has every fault at every step") {
+TEST_CASE_METHOD(FaultMatrixTest,
+                 "matrix, generated, contains every fault at every step") {
   std::size_t steps = 0;
   for (const MatrixActivity& activity : this->lists.activities) {
     steps += activity.steps.size();
@@ -44,34 +44,36 @@
   CHECK(names.size() == pairs.size());
 }
 
-TEST_CASE_METHOD(FaultMatrix,
-                 "matrix cell, sensible or not, has a scenario or a reason") {
+TEST_CASE_METHOD(
+    FaultMatrixTest,
+    "matrix cell, applicable or not, has either a scenario or a reason") {
   for (const MatrixExtent extent :
        {MatrixExtent::kSingles, MatrixExtent::kPairs}) {
     for (const MatrixCell& cell : GenerateMatrix(this->lists, extent)) {
       INFO(cell.Name());
       REQUIRE(cell.not_applicable.empty() != cell.scenario.empty());
       if (!cell.scenario.empty()) {
-        REQUIRE(ParseScenario(cell.scenario).faults.empty());
+        REQUIRE(ParseScenario(cell.scenario).errors.empty());
       }
     }
   }
 }
 
-TEST_CASE_METHOD(FaultMatrix,
-                 "short run, picked twice, is the same and has every fault") {
+TEST_CASE_METHOD(
+    FaultMatrixTest,
+    "short run, selected twice, is identical and contains every fault") {
   const auto cells = GenerateMatrix(this->lists, MatrixExtent::kSingles);
-  const auto picked = PickForShortRun(cells);
-  const auto again = PickForShortRun(cells);
+  const auto selected = SelectShortRun(cells);
+  const auto again = SelectShortRun(cells);
   std::set<std::string> faults;
-  for (std::size_t i = 0; i < picked.size(); ++i) {
-    CHECK(picked[i].Name() == again[i].Name());
-    faults.insert(picked[i].faults.front());
+  for (std::size_t i = 0; i < selected.size(); ++i) {
+    CHECK(selected[i].Name() == again[i].Name());
+    faults.insert(selected[i].faults.front());
   }
   CHECK(faults.size() == this->lists.faults.size());
 }
 
-TEST_CASE("matrix table, results and reasons, shows both") {
+TEST_CASE("matrix table, results and reasons, contains both") {
   const auto lists = ParseMatrixLists(R"({
     "faults": [{"fault": "dies", "touches": "engine", "break": []},
                {"fault": "lost", "touches": "engine", "wants": "write", "break": []}],
--- a/tests/scenario/tests/promises_test.cc
+++ b/tests/scenario/tests/promises_test.cc
@@ -9,10 +9,10 @@
 
 using Json = nlohmann::json;
 
-/// Evidence of a whole stream and an order; each test breaks one promise.
-class PromiseChecking {
+/// Evidence of a complete stream and an order; each test adds a violation.
+class GuaranteeTest {
  protected:
-  PromiseChecking() {
+  GuaranteeTest() {
     CallEvidence stream;
     stream.call.name = "stream";
     stream.call.path = "/v1/completions";
@@ -39,69 +39,75 @@
   CallerView& Stream() { return this->evidence.calls[0].view; }
   CallEvidence& Order() { return this->evidence.calls[1]; }
 
-  void Refuse(CallerView* view) {
+  void Reject(CallerView* view) {
     view->status = 503;
     view->problem = {{"code", "upstream.101"}, {"outcome", "not_run"}};
   }
 
-  std::size_t Broken() const { return BrokenPromises(this->evidence).size(); }
+  std::size_t ViolationCount() const {
+    return FindViolations(this->evidence).size();
+  }
 
-  PromiseEvidence evidence;
+  GuaranteeEvidence evidence;
 };
 
-TEST_CASE_METHOD(PromiseChecking, "promise checker, all kept, finds nothing") {
-  CHECK(this->Broken() == 0);
+TEST_CASE_METHOD(GuaranteeTest,
+                 "guarantee check, no violation, returns nothing") {
+  CHECK(this->ViolationCount() == 0);
 }
 
-TEST_CASE_METHOD(PromiseChecking,
-                 "promise checker, a spoilt stream, is caught") {
+TEST_CASE_METHOD(GuaranteeTest,
+                 "guarantee check, malformed stream, reports it") {
   std::vector<std::string>& tokens = this->Stream().tokens;
   const std::string mixed = "stream: tokens are not of one generation in order";
   std::vector<std::string> found = {mixed};
-  SECTION("splice of two generations") { tokens[1] = TokenText("h", 1); }
-  SECTION("crossed order") { std::swap(tokens[0], tokens[1]); }
-  SECTION("token twice") {
+  SECTION("tokens of two generations") { tokens[1] = TokenText("h", 1); }
+  SECTION("swapped tokens") { std::swap(tokens[0], tokens[1]); }
+  SECTION("duplicate token") {
     tokens.insert(tokens.begin(), tokens.front());
-    found = {mixed, "stream: ended as whole with 4 of 3 tokens"};
+    found = {mixed, "stream: ended as complete with 4 of 3 tokens"};
   }
-  SECTION("gap") {
+  SECTION("missing token") {
     tokens.erase(tokens.begin() + 1);
-    found = {mixed, "stream: ended as whole with 2 of 3 tokens"};
+    found = {mixed, "stream: ended as complete with 2 of 3 tokens"};
   }
   SECTION("end before the last token") {
     tokens.pop_back();
-    found = {"stream: ended as whole with 2 of 3 tokens"};
+    found = {"stream: ended as complete with 2 of 3 tokens"};
   }
-  CHECK(BrokenPromises(this->evidence) == found);
+  CHECK(FindViolations(this->evidence) == found);
 }
 
-TEST_CASE_METHOD(PromiseChecking,
-                 "promise checker, an order's lie, is caught") {
-  SECTION("not_run of what ran") { this->Refuse(&this->Order().view); }
-  SECTION("sent again") {
+TEST_CASE_METHOD(GuaranteeTest,
+                 "guarantee check, wrong outcome of an order, reports it") {
+  SECTION("reported not_run, but ran") { this->Reject(&this->Order().view); }
+  SECTION("executed twice") {
     this->evidence.executions.push_back(this->evidence.executions[0]);
   }
-  SECTION("answered without a run") { this->evidence.executions.clear(); }
-  SECTION("keyed and run twice") {
+  SECTION("succeeded without an execution") {
+    this->evidence.executions.clear();
+  }
+  SECTION("with key, executed twice") {
     this->Order().call.headers["Idempotency-Key"] = "k";
     this->evidence.executions = {{{"idempotency_key", "k"}},
                                  {{"idempotency_key", "k"}}};
   }
-  SECTION("keyed, every caller told not_run, and run") {
+  SECTION("with key, all callers got not_run, but ran") {
     this->Order().call.headers["Idempotency-Key"] = "k";
-    this->Refuse(&this->Order().view);
+    this->Reject(&this->Order().view);
     this->evidence.executions = {{{"idempotency_key", "k"}}};
   }
-  CHECK(this->Broken() == 1);
+  CHECK(this->ViolationCount() == 1);
 }
 
-TEST_CASE_METHOD(PromiseChecking, "promise checker, changes, are held apart") {
+TEST_CASE_METHOD(GuaranteeTest,
+                 "guarantee check, changes of one base version, reports them") {
   this->evidence.applied_bases = {1, 2};
-  CHECK(this->Broken() == 0);
+  CHECK(this->ViolationCount() == 0);
   this->evidence.applied_bases = {1, 2, 1};
-  CHECK(this->Broken() == 1);
+  CHECK(this->ViolationCount() == 1);
   this->evidence.reverted_hosts = {"entry-1"};
-  CHECK(this->Broken() == 2);
+  CHECK(this->ViolationCount() == 2);
 }
 
 }  // namespace
--- a/tests/scenario/tests/scenario_test.cc
+++ b/tests/scenario/tests/scenario_test.cc
@@ -10,7 +10,7 @@
 using Json = nlohmann::json;
 
 constexpr char kText[] = R"({
-  "scenario": "order, service killed, is told truly",
+  "scenario": "order, service killed, has a correct outcome",
   "promise": "at-most-once",
   "fleet": {"entries": 1, "engines": 0, "services": 1},
   "steps": [
@@ -22,13 +22,13 @@
     {"kill": "service-1"}
   ]})";
 
-TEST_CASE("scenario, well formed, is read step by step") {
+TEST_CASE("scenario, well formed, is parsed") {
   const ScenarioParseResult result = ParseScenario(kText);
-  REQUIRE(result.faults.empty());
+  REQUIRE(result.errors.empty());
   const Scenario& scenario = result.scenario;
   CHECK(scenario.topology.engines == 0);
   REQUIRE(scenario.steps.size() == 6);
-  CHECK(std::get<FaultStep>(scenario.steps[1]).ms == 300);
+  CHECK(std::get<FaultStep>(scenario.steps[1]).delay_ms == 300);
   CHECK(std::get<CallStep>(scenario.steps[2]).method == "POST");
   const auto& expect = std::get<ExpectStep>(scenario.steps[3]);
   CHECK(expect.within == std::chrono::seconds(5));
@@ -37,64 +37,66 @@
   CHECK(std::get<ProcessStep>(scenario.steps[5]).verb == ProcessVerb::kKill);
 }
 
-TEST_CASE("scenario, with faults, names all of them") {
+TEST_CASE("scenario, invalid, reports all errors") {
   const ScenarioParseResult result = ParseScenario(
       R"({"promise":"p","steps":[{"shake":"it"},{"call":"c"},
           {"expect":"c"},{"race":[{"kill":"x"}]}]})");
-  CHECK(result.faults ==
+  CHECK(result.errors ==
         std::vector<std::string>{
             "/: scenario is missing", "/steps/0: has no known verb",
             "/steps/1: to is missing", "/steps/1: path is missing",
-            "/steps/2: nothing is expected",
+            "/steps/2: has no expectation",
             "/steps/3/race/0: only call and apply can race",
             "/steps/3: a race needs at least two steps"});
-  CHECK(ParseScenario("[").faults.size() == 1);
+  CHECK(ParseScenario("[").errors.size() == 1);
 }
 
-TEST_CASE("observation, by kind of expectation, matches or not") {
-  const Json seen = {{"status", 502}, {"tokens", 7}, {"runs", {{"a", 1}}}};
-  CHECK(Matches(Json{{"status", 502}}, seen));
-  CHECK(Matches(Json::parse(R"({"status":[502,503]})"), seen));
-  CHECK_FALSE(Matches(Json{{"status", 200}}, seen));
-  CHECK(Matches(Json::parse(R"({"tokens":{"least":7,"most":7}})"), seen));
-  CHECK_FALSE(Matches(Json::parse(R"({"tokens":{"least":8}})"), seen));
-  CHECK(Matches(Json::parse(R"({"runs":{"a":{"most":1}}})"), seen));
-  CHECK_FALSE(Matches(Json{{"absent", 1}}, seen));
+TEST_CASE("observation, each type of expectation, is compared") {
+  const Json observed = {{"status", 502}, {"tokens", 7}, {"runs", {{"a", 1}}}};
+  CHECK(Matches(Json{{"status", 502}}, observed));
+  CHECK(Matches(Json::parse(R"({"status":[502,503]})"), observed));
+  CHECK_FALSE(Matches(Json{{"status", 200}}, observed));
+  CHECK(Matches(Json::parse(R"({"tokens":{"least":7,"most":7}})"), observed));
+  CHECK_FALSE(Matches(Json::parse(R"({"tokens":{"least":8}})"), observed));
+  CHECK(Matches(Json::parse(R"({"runs":{"a":{"most":1}}})"), observed));
+  CHECK_FALSE(Matches(Json{{"absent", 1}}, observed));
   CHECK_FALSE(Matches(Json{{"status", 502}}, Json()));
 }
 
-/// A fleet in memory whose service counts up with each look.
-class ScenarioRunning {
+/// Runs scenarios against in-memory hooks; each observation increments `runs`.
+class ScenarioRunnerTest {
  protected:
-  ScenarioRunning() {
-    const auto well = [](const auto& /*step*/) { return absl::OkStatus(); };
-    this->fleet.set_up = well;
-    this->fleet.process = well;
-    this->fleet.fault = well;
-    this->fleet.begin = well;
+  ScenarioRunnerTest() {
+    const auto succeed = [](const auto& /*step*/) { return absl::OkStatus(); };
+    this->fleet.set_up = succeed;
+    this->fleet.process = succeed;
+    this->fleet.fault = succeed;
+    this->fleet.begin = succeed;
     this->fleet.observe = [this](const std::string& /*subject*/) {
-      return Json{{"runs", this->looks++}};
+      return Json{{"runs", this->observations++}};
     };
     this->fleet.now = [this] { return this->time; };
     this->fleet.pause = [this] { this->time += std::chrono::seconds(1); };
   }
 
-  Fleet fleet;
-  int looks = 0;
+  FleetHooks fleet;
+  int observations = 0;
   std::chrono::milliseconds time{0};
 };
 
-TEST_CASE_METHOD(ScenarioRunning, "runner, condition comes true, goes on") {
+TEST_CASE_METHOD(ScenarioRunnerTest,
+                 "runner, condition becomes true, runs the next step") {
   std::vector<std::string> lines;
   const auto result =
       RunScenario(ParseScenario(kText).scenario, this->fleet,
                   [&lines](const std::string& line) { lines.push_back(line); });
   CHECK(result.passed);
   CHECK(lines.size() == 6);
-  CHECK(this->looks == 2);
+  CHECK(this->observations == 2);
 }
 
-TEST_CASE_METHOD(ScenarioRunning, "runner, condition never true, says why") {
+TEST_CASE_METHOD(ScenarioRunnerTest,
+                 "runner, condition never true, reports the observation") {
   this->fleet.observe = [](const std::string& /*subject*/) {
     return Json{{"runs", 0}};
   };
@@ -102,7 +104,7 @@
                                   [](const std::string& /*line*/) {});
   CHECK_FALSE(result.passed);
   CHECK(result.steps_done == 3);
-  CHECK(result.problem.find("seen of service-1: {\"runs\":0}") !=
+  CHECK(result.problem.find("observed for service-1: {\"runs\":0}") !=
         std::string::npos);
 }
 
