--- a/fakes/fake_engine.cc
+++ b/fakes/fake_engine.cc
@@ -10,17 +10,18 @@
 constexpr std::uint64_t kBytesPerToken = 4;
 constexpr std::uint64_t kDefaultMaxTokens = 256;
 
-// A prompt that holds "tokens=N" gets an answer of N tokens.
-std::uint64_t WantedTokens(const std::string& prompt, std::uint64_t otherwise) {
-  constexpr std::string_view kMark = "tokens=";
-  const std::size_t at = prompt.find(kMark);
+// Returns N if the prompt contains "tokens=N", otherwise the default.
+std::uint64_t RequestedLength(const std::string& prompt,
+                              std::uint64_t default_value) {
+  constexpr std::string_view kMarker = "tokens=";
+  const std::size_t at = prompt.find(kMarker);
   if (at == std::string::npos) {
-    return otherwise;
+    return default_value;
   }
-  std::uint64_t wanted = otherwise;
-  std::from_chars(prompt.data() + at + kMark.size(),
-                  prompt.data() + prompt.size(), wanted);
-  return wanted;
+  std::uint64_t length = default_value;
+  std::from_chars(prompt.data() + at + kMarker.size(),
+                  prompt.data() + prompt.size(), length);
+  return length;
 }
 
 }  // namespace
@@ -30,20 +31,20 @@
   host->on_request = [this](const CallerRequest& request) {
     this->Handle(request);
   };
-  host->on_gone = [this](RequestId id) { this->RemoveReader(id); };
+  host->on_disconnect = [this](RequestId id) { this->RemoveReader(id); };
 }
 
 void FakeEngine::Handle(const CallerRequest& request) {
   if (request.path.rfind("/control/", 0) == 0) {
     this->Control(request);
   } else if (request.path == "/v1/completions" && request.method == "POST") {
-    this->Begin(request);
+    this->StartGeneration(request);
   } else if (request.path.rfind(kGenerations, 0) == 0) {
     this->HandleGeneration(request, request.path.substr(kGenerations.size()));
   } else if (request.path == "/v1/load") {
     this->ReportLoad(request.id);
   } else if (request.path == "/v1/orders" && request.method == "POST") {
-    this->TakeOrder(request);
+    this->HandleCommand(request);
   } else if (request.path == "/v1/cache/events") {
     this->ReportCacheEvents(request);
   } else {
@@ -56,7 +57,7 @@
     this->SetFaults(ParseObject(request.body));
     this->host->ReplyJson(request.id, 200, OrderedJson::object());
   } else if (request.path == "/control/cut" && request.method == "POST") {
-    this->CutReaders();
+    this->AbortStreams();
     this->host->ReplyJson(request.id, 200, OrderedJson::object());
   } else if (request.path == "/control/record") {
     this->ReportRecord(request.id);
@@ -65,19 +66,19 @@
   }
 }
 
-void FakeEngine::SetFaults(const OrderedJson& wanted) {
-  EngineFaults& now = this->faults;
-  now.stall = wanted.value("stall", now.stall);
-  now.refuse = wanted.value("refuse", now.refuse);
-  now.draining = wanted.value("draining", now.draining);
-  now.die_after = wanted.value("die_after", now.die_after);
-  now.cut_after = wanted.value("cut_after", now.cut_after);
-  now.order_ms = wanted.value("order_ms", now.order_ms);
-  this->settings.step_ms = wanted.value("step_ms", this->settings.step_ms);
+void FakeEngine::SetFaults(const OrderedJson& update) {
+  EngineFaults& current = this->faults;
+  current.stall = update.value("stall", current.stall);
+  current.refuse = update.value("refuse", current.refuse);
+  current.draining = update.value("draining", current.draining);
+  current.die_after = update.value("die_after", current.die_after);
+  current.cut_after = update.value("cut_after", current.cut_after);
+  current.command_ms = update.value("order_ms", current.command_ms);
+  this->settings.step_ms = update.value("step_ms", this->settings.step_ms);
   this->ScheduleStep();
 }
 
-void FakeEngine::Begin(const CallerRequest& request) {
+void FakeEngine::StartGeneration(const CallerRequest& request) {
   const OrderedJson body = ParseObject(request.body);
   const std::string id = body.value("generation", "");
   if (this->faults.refuse || this->faults.draining) {
@@ -95,20 +96,20 @@
   }
   const std::string prompt = body.value("prompt", "");
   const std::uint64_t limit = body.value("max_tokens", kDefaultMaxTokens);
-  const std::uint64_t natural =
-      WantedTokens(prompt, this->settings.natural_tokens);
+  const std::uint64_t natural_length =
+      RequestedLength(prompt, this->settings.natural_tokens);
   Generation generation;
   generation.id = id;
   generation.prompt_tokens = prompt.size() / kBytesPerToken;
-  generation.wanted_tokens = std::min(limit, natural);
-  generation.finish_reason = natural <= limit ? "stop" : "length";
+  generation.target_tokens = std::min(limit, natural_length);
+  generation.finish_reason = natural_length <= limit ? "stop" : "length";
   generation.priority = body.value("priority", std::int64_t{0});
   generation.arrival = ++this->arrivals;
   generation.readers.push_back({request.id, 0});
   this->started.push_back(
-      {{"generation", id}, {"tokens", generation.wanted_tokens}});
+      {{"generation", id}, {"tokens", generation.target_tokens}});
   this->generations.emplace(id, std::move(generation));
-  this->NoteCacheEvent(prompt);
+  this->RecordCacheEvent(prompt);
   this->host->BeginStream(request.id);
   this->ScheduleStep();
 }
@@ -138,7 +139,7 @@
   }
   this->host->BeginStream(request.id);
   generation->readers.push_back({request.id, offset});
-  this->Deliver(generation);
+  this->SendTokens(generation);
 }
 
 void FakeEngine::SetPriority(const CallerRequest& request,
@@ -154,7 +155,7 @@
   }
   generation->state = State::kCancelled;
   for (const Reader& reader : generation->readers) {
-    this->host->Cut(reader.request);
+    this->host->Abort(reader.request);
   }
   generation->readers.clear();
 }
@@ -162,30 +163,32 @@
 void FakeEngine::RemoveReader(RequestId id) {
   for (auto& [name, generation] : this->generations) {
     std::vector<Reader>& readers = generation.readers;
-    const auto is_gone = [id](const Reader& reader) {
+    const auto is_disconnected = [id](const Reader& reader) {
       return reader.request == id;
     };
-    readers.erase(std::remove_if(readers.begin(), readers.end(), is_gone),
-                  readers.end());
+    readers.erase(
+        std::remove_if(readers.begin(), readers.end(), is_disconnected),
+        readers.end());
   }
 }
 
 void FakeEngine::ReportLoad(RequestId id) {
-  this->host->ReplyJson(id, 200,
-                        {{"model", this->settings.model},
-                         {"version", this->settings.version},
-                         {"adapters", this->adapters},
-                         {"role", this->role},
-                         {"memory_tokens", this->settings.memory_tokens},
-                         {"memory_tokens_used", this->UsedTokens()},
-                         {"running", this->In(State::kRunning).size()},
-                         {"waiting", this->In(State::kWaiting).size()},
-                         {"preemptions", this->preemptions},
-                         {"step_ms", this->settings.step_ms},
-                         {"draining", this->faults.draining},
-                         {"fence", this->fence},
-                         {"order_id", this->order_id},
-                         {"order_state", this->order_state}});
+  this->host->ReplyJson(
+      id, 200,
+      {{"model", this->settings.model},
+       {"version", this->settings.version},
+       {"adapters", this->adapters},
+       {"role", this->role},
+       {"memory_tokens", this->settings.memory_tokens},
+       {"memory_tokens_used", this->UsedTokens()},
+       {"running", this->GenerationsIn(State::kRunning).size()},
+       {"waiting", this->GenerationsIn(State::kWaiting).size()},
+       {"preemptions", this->preemptions},
+       {"step_ms", this->settings.step_ms},
+       {"draining", this->faults.draining},
+       {"fence", this->fence},
+       {"order_id", this->command_id},
+       {"order_state", this->command_state}});
 }
 
 void FakeEngine::ReportRecord(RequestId id) {
@@ -200,47 +203,47 @@
   this->host->ReplyJson(id, 200,
                         {{"started", this->started},
                          {"generations", all},
-                         {"orders", this->orders}});
+                         {"orders", this->commands}});
 }
 
-void FakeEngine::TakeOrder(const CallerRequest& request) {
+void FakeEngine::HandleCommand(const CallerRequest& request) {
   const OrderedJson body = ParseObject(request.body);
   const std::uint64_t number = body.value("fence", std::uint64_t{0});
-  const bool old = number < this->fence;
-  const bool refused = old && this->settings.check_fencing;
-  this->orders.push_back(
+  const bool outdated = number < this->fence;
+  const bool rejected = outdated && this->settings.check_fencing;
+  this->commands.push_back(
       {{"order_id", body.value("order_id", "")},
        {"fence", number},
-       {"refused", refused},
+       {"refused", rejected},
        {"wanted", body.value("wanted", OrderedJson::object())}});
-  if (refused) {
+  if (rejected) {
     this->host->ReplyJson(request.id, 409, {{"fence", this->fence}});
     return;
   }
   this->fence = std::max(this->fence, number);
-  this->order_id = body.value("order_id", "");
-  this->order_state = "running";
-  const OrderedJson wanted = body.value("wanted", OrderedJson::object());
-  const std::string id = this->order_id;
-  this->host->After(std::chrono::milliseconds(this->faults.order_ms),
-                    [this, id, wanted] {
-                      if (this->order_id == id) {
-                        this->CarryOutOrder(wanted);
-                      }
-                    });
+  this->command_id = body.value("order_id", "");
+  this->command_state = "running";
+  const OrderedJson desired = body.value("wanted", OrderedJson::object());
+  const std::string id = this->command_id;
+  this->host->RunAfter(std::chrono::milliseconds(this->faults.command_ms),
+                       [this, id, desired] {
+                         if (this->command_id == id) {
+                           this->ExecuteCommand(desired);
+                         }
+                       });
   this->host->ReplyJson(request.id, 202, {{"fence", this->fence}});
 }
 
-void FakeEngine::CarryOutOrder(const OrderedJson& wanted) {
-  this->settings.model = wanted.value("model", this->settings.model);
-  this->settings.version = wanted.value("version", this->settings.version);
-  this->adapters = wanted.value("adapters", this->adapters);
-  this->role = wanted.value("role", this->role);
-  this->order_state = "done";
+void FakeEngine::ExecuteCommand(const OrderedJson& desired) {
+  this->settings.model = desired.value("model", this->settings.model);
+  this->settings.version = desired.value("version", this->settings.version);
+  this->adapters = desired.value("adapters", this->adapters);
+  this->role = desired.value("role", this->role);
+  this->command_state = "done";
 }
 
-void FakeEngine::NoteCacheEvent(std::string_view prompt) {
-  constexpr std::size_t kKeptEvents = 256;
+void FakeEngine::RecordCacheEvent(std::string_view prompt) {
+  constexpr std::size_t kMaxCacheEvents = 256;
   constexpr std::size_t kBlockBytes = 64;
   if (prompt.size() < kBlockBytes) {
     return;
@@ -249,8 +252,9 @@
       {{"sequence", ++this->cache_sequence},
        {"block", StableHash(prompt.substr(0, kBlockBytes))},
        {"present", true}});
-  if (this->cache_events.size() > kKeptEvents) {
-    this->cache_events.pop_front();  // readers that come late see a gap
+  if (this->cache_events.size() > kMaxCacheEvents) {
+    // Slow readers observe a gap in the sequence.
+    this->cache_events.pop_front();
   }
 }
 
--- a/fakes/fake_engine.h
+++ b/fakes/fake_engine.h
@@ -1,7 +1,6 @@
 /// @file
-/// @brief Stand-in for a model engine: streams, resumes and cancels
-/// generations, honours
-///        priorities, reports its load and takes orders.
+/// @brief Fake of a model engine: streams, resumes and cancels generations,
+/// schedules them by priority, reports its load and executes commands.
 #pragma once
 
 #include <deque>
@@ -13,35 +12,35 @@
 
 namespace limpetlink {
 
-/// @brief How an engine is set up.
+/// @brief Settings of a fake engine.
 struct EngineSettings {
   std::string model = "tasting-model";
   std::string version = "1";
   std::uint64_t memory_tokens = 60'000;
   std::uint64_t max_running = 64;
-  std::uint64_t step_ms = 20;  ///< time of one decode step
-  std::uint64_t natural_tokens =
-      64;                     ///< length of an answer whose prompt names none
-  bool check_fencing = true;  ///< refuses orders with an old fencing number
+  std::uint64_t step_ms = 20;  ///< duration of a decode step, in milliseconds
+  /// Output length if the prompt does not set one.
+  std::uint64_t natural_tokens = 64;
+  /// Rejects commands with an outdated fencing number.
+  bool check_fencing = true;
 };
 
-/// @brief What the engine does wrong now.
+/// @brief Faults injected into the engine.
 struct EngineFaults {
-  bool stall = false;     ///< steps make no tokens
-  bool refuse = false;    ///< new work gets 503 and not_run
-  bool draining = false;  ///< reported, and new work gets 503 and not_run
-  std::uint64_t die_after =
-      0;  ///< process exits after this many more tokens; 0: never
+  bool stall = false;           ///< steps produce no tokens
+  bool refuse = false;          ///< rejects new requests with 503 and not_run
+  bool draining = false;        ///< reported; new requests get 503 and not_run
+  std::uint64_t die_after = 0;  ///< tokens until the process exits; 0: never
   std::uint64_t cut_after =
-      0;  ///< all streams are cut after this many more tokens; 0: never
-  std::uint64_t order_ms = 50;  ///< time that an order takes
+      0;  ///< tokens until all streams are aborted; 0: never
+  std::uint64_t command_ms = 50;  ///< duration of a command, in milliseconds
 };
 
-/// @brief Serves the engine's protocol (docs/fakes.md).
+/// @brief Implements the engine protocol described in docs/fakes.md.
 class FakeEngine {
  public:
-  /// @param host carries requests and answers; outlives the engine
-  /// @param settings its model and size
+  /// @param host HTTP host, which must outlive the engine
+  /// @param settings model, version and capacity of the engine
   FakeEngine(FakeHost* host, EngineSettings settings);
 
  private:
@@ -53,7 +52,7 @@
   struct Generation {
     std::string id;
     std::uint64_t prompt_tokens = 0;
-    std::uint64_t wanted_tokens = 0;
+    std::uint64_t target_tokens = 0;
     std::string finish_reason;
     std::int64_t priority = 0;
     std::uint64_t arrival = 0;
@@ -64,8 +63,8 @@
 
   void Handle(const CallerRequest& request);
   void Control(const CallerRequest& request);
-  void SetFaults(const OrderedJson& wanted);
-  void Begin(const CallerRequest& request);
+  void SetFaults(const OrderedJson& update);
+  void StartGeneration(const CallerRequest& request);
   void HandleGeneration(const CallerRequest& request, const std::string& rest);
   void Resume(const CallerRequest& request, Generation* generation);
   void SetPriority(const CallerRequest& request, Generation* generation);
@@ -73,20 +72,20 @@
   void RemoveReader(RequestId id);
   void ReportLoad(RequestId id);
   void ReportRecord(RequestId id);
-  void TakeOrder(const CallerRequest& request);
-  void CarryOutOrder(const OrderedJson& wanted);
+  void HandleCommand(const CallerRequest& request);
+  void ExecuteCommand(const OrderedJson& desired);
   void ReportCacheEvents(const CallerRequest& request);
-  void NoteCacheEvent(std::string_view prompt);
+  void RecordCacheEvent(std::string_view prompt);
 
   void Step();
   void ScheduleStep();
   void Admit();
   void PreemptUntilFitting();
-  void MakeToken(Generation* generation);
-  void Deliver(Generation* generation);
-  void CountToken();
-  void CutReaders();
-  std::vector<Generation*> In(State state);
+  void ProduceToken(Generation* generation);
+  void SendTokens(Generation* generation);
+  void ApplyTokenFaults();
+  void AbortStreams();
+  std::vector<Generation*> GenerationsIn(State state);
   std::uint64_t UsedTokens();
 
   FakeHost* host;
@@ -97,11 +96,11 @@
   std::uint64_t preemptions = 0;
   bool step_scheduled = false;
   std::uint64_t fence = 0;
-  std::string order_id;
-  std::string order_state = "none";
+  std::string command_id;
+  std::string command_state = "none";
   std::string role = "mixed";
   OrderedJson adapters = OrderedJson::array();
-  OrderedJson orders = OrderedJson::array();
+  OrderedJson commands = OrderedJson::array();
   OrderedJson started = OrderedJson::array();
   std::deque<OrderedJson> cache_events;
   std::uint64_t cache_sequence = 0;
--- a/fakes/fake_engine_events.h
+++ b/fakes/fake_engine_events.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The events of an engine's stream.
+/// @brief Server-sent events of an engine's stream.
 #pragma once
 
 #include <cstdint>
@@ -7,9 +7,9 @@
 
 namespace limpetlink {
 
-/// @brief Text of the token at an offset; follows from both arguments alone, so
-/// that a reader can
-///        prove that a stream is whole, in order and of one generation.
+/// @brief Returns the text of the token at an offset. It depends only on the
+/// arguments, so that a reader can verify that a stream is complete, in order
+/// and of one generation.
 std::string TokenText(const std::string& generation, std::uint64_t offset);
 
 /// @return the server-sent event of one token
--- a/fakes/fake_engine_steps.cc
+++ b/fakes/fake_engine_steps.cc
@@ -1,4 +1,5 @@
-// The engine's decode steps: admission, preemption, tokens and their delivery.
+// Decode steps of the fake engine: admission, preemption, token production and
+// delivery.
 #include <algorithm>
 #include <cstdlib>
 
@@ -12,14 +13,15 @@
 
 }  // namespace
 
-std::vector<FakeEngine::Generation*> FakeEngine::In(State state) {
+std::vector<FakeEngine::Generation*> FakeEngine::GenerationsIn(State state) {
   std::vector<Generation*> found;
   for (auto& [name, generation] : this->generations) {
     if (generation.state == state) {
       found.push_back(&generation);
     }
   }
-  // Kept longest first: high priority, then early arrival.
+  // Orders by descending priority, then by arrival; the last is preempted
+  // first.
   std::sort(found.begin(), found.end(),
             [](const Generation* a, const Generation* b) {
               return a->priority != b->priority ? a->priority > b->priority
@@ -30,7 +32,8 @@
 
 std::uint64_t FakeEngine::UsedTokens() {
   std::uint64_t used = 0;
-  for (const Generation* const generation : this->In(State::kRunning)) {
+  for (const Generation* const generation :
+       this->GenerationsIn(State::kRunning)) {
     used += generation->prompt_tokens + generation->produced;
   }
   return used;
@@ -41,16 +44,17 @@
     return;
   }
   this->step_scheduled = true;
-  this->host->After(std::chrono::milliseconds(this->settings.step_ms), [this] {
-    this->step_scheduled = false;
-    this->Step();
-  });
+  this->host->RunAfter(std::chrono::milliseconds(this->settings.step_ms),
+                       [this] {
+                         this->step_scheduled = false;
+                         this->Step();
+                       });
 }
 
 void FakeEngine::Admit() {
-  std::size_t running = this->In(State::kRunning).size();
+  std::size_t running = this->GenerationsIn(State::kRunning).size();
   std::uint64_t used = this->UsedTokens();
-  for (Generation* const generation : this->In(State::kWaiting)) {
+  for (Generation* const generation : this->GenerationsIn(State::kWaiting)) {
     const std::uint64_t needed =
         generation->prompt_tokens + generation->produced + 1;
     if (running >= this->settings.max_running ||
@@ -64,7 +68,7 @@
 }
 
 void FakeEngine::PreemptUntilFitting() {
-  std::vector<Generation*> running = this->In(State::kRunning);
+  std::vector<Generation*> running = this->GenerationsIn(State::kRunning);
   while (running.size() > 1 &&
          this->UsedTokens() + running.size() > this->settings.memory_tokens) {
     running.back()->state = State::kWaiting;
@@ -77,28 +81,28 @@
   if (!this->faults.stall) {
     this->Admit();
     this->PreemptUntilFitting();
-    for (Generation* const generation : this->In(State::kRunning)) {
-      this->MakeToken(generation);
+    for (Generation* const generation : this->GenerationsIn(State::kRunning)) {
+      this->ProduceToken(generation);
     }
   }
-  if (!this->In(State::kRunning).empty() ||
-      !this->In(State::kWaiting).empty()) {
+  if (!this->GenerationsIn(State::kRunning).empty() ||
+      !this->GenerationsIn(State::kWaiting).empty()) {
     this->ScheduleStep();
   }
 }
 
-void FakeEngine::MakeToken(Generation* generation) {
-  if (generation->produced < generation->wanted_tokens) {
+void FakeEngine::ProduceToken(Generation* generation) {
+  if (generation->produced < generation->target_tokens) {
     ++generation->produced;
   }
-  if (generation->produced >= generation->wanted_tokens) {
+  if (generation->produced >= generation->target_tokens) {
     generation->state = State::kDone;
   }
-  this->Deliver(generation);
-  this->CountToken();
+  this->SendTokens(generation);
+  this->ApplyTokenFaults();
 }
 
-void FakeEngine::Deliver(Generation* generation) {
+void FakeEngine::SendTokens(Generation* generation) {
   const bool done = generation->state == State::kDone;
   for (Reader& reader : generation->readers) {
     std::string bytes;
@@ -121,19 +125,19 @@
   }
 }
 
-void FakeEngine::CountToken() {
+void FakeEngine::ApplyTokenFaults() {
   if (this->faults.die_after > 0 && --this->faults.die_after == 0) {
     std::_Exit(kDiedExitCode);
   }
   if (this->faults.cut_after > 0 && --this->faults.cut_after == 0) {
-    this->CutReaders();
+    this->AbortStreams();
   }
 }
 
-void FakeEngine::CutReaders() {
+void FakeEngine::AbortStreams() {
   for (auto& [name, generation] : this->generations) {
     for (const Reader& reader : generation.readers) {
-      this->host->Cut(reader.request);
+      this->host->Abort(reader.request);
     }
     generation.readers.clear();
   }
--- a/fakes/fake_host.cc
+++ b/fakes/fake_host.cc
@@ -11,7 +11,7 @@
 
 Actions FakeHost::Start(Instant at) {
   this->now = at;
-  return this->Taken();
+  return this->TakeActions();
 }
 
 Actions FakeHost::Step(Instant at, const Event& event) {
@@ -19,11 +19,11 @@
   if (const auto* const request = std::get_if<CallerRequest>(&event)) {
     this->on_request(*request);
   } else if (const auto* const gone = std::get_if<CallerGone>(&event)) {
-    if (this->on_gone) {
-      this->on_gone(gone->id);
+    if (this->on_disconnect) {
+      this->on_disconnect(gone->id);
     }
   }
-  return this->Taken();
+  return this->TakeActions();
 }
 
 Actions FakeHost::Tick(Instant at) {
@@ -33,20 +33,20 @@
     this->timers.erase(this->timers.begin());
     timer();
   }
-  return this->Taken();
+  return this->TakeActions();
 }
 
 Actions FakeHost::Drain(Instant at) {
   this->now = at;
   this->draining = true;
-  return this->Taken();
+  return this->TakeActions();
 }
 
 Instant FakeHost::NextWakeup() const {
   return this->timers.empty() ? kNever : this->timers.begin()->first;
 }
 
-void FakeHost::After(Duration delay, Timer timer) {
+void FakeHost::RunAfter(Duration delay, Timer timer) {
   this->timers.emplace(this->now + delay, std::move(timer));
 }
 
@@ -76,11 +76,11 @@
   this->actions.emplace_back(ReplyEnd{id, false});
 }
 
-void FakeHost::Cut(RequestId id) {
+void FakeHost::Abort(RequestId id) {
   this->actions.emplace_back(ReplyEnd{id, true});
 }
 
-Actions FakeHost::Taken() {
+Actions FakeHost::TakeActions() {
   Actions taken;
   taken.swap(this->actions);
   return taken;
@@ -108,7 +108,7 @@
 }
 
 std::string QueryValue(std::string_view query, std::string_view name,
-                       std::string otherwise) {
+                       std::string default_value) {
   while (!query.empty()) {
     const std::size_t end = std::min(query.find('&'), query.size());
     const std::string_view pair = query.substr(0, end);
@@ -118,23 +118,23 @@
     }
     query.remove_prefix(std::min(end + 1, query.size()));
   }
-  return otherwise;
+  return default_value;
 }
 
 std::uint64_t QueryNumber(std::string_view query, std::string_view name,
-                          std::uint64_t otherwise) {
+                          std::uint64_t default_value) {
   const std::string text = QueryValue(query, name, "");
-  std::uint64_t value = otherwise;
+  std::uint64_t value = default_value;
   std::from_chars(text.data(), text.data() + text.size(), value);
   return value;
 }
 
 int RunFake(FakeHost* fake, const std::string& listen) {
-  sigset_t ends;
-  sigemptyset(&ends);
-  sigaddset(&ends, SIGTERM);
-  sigaddset(&ends, SIGINT);
-  pthread_sigmask(SIG_BLOCK, &ends, nullptr);
+  sigset_t stop_signals;
+  sigemptyset(&stop_signals);
+  sigaddset(&stop_signals, SIGTERM);
+  sigaddset(&stop_signals, SIGINT);
+  pthread_sigmask(SIG_BLOCK, &stop_signals, nullptr);
   CoreLoop loop(HooksOf(fake));
   HttpServerSettings settings;
   settings.listen = listen;
@@ -156,9 +156,9 @@
   };
   hooks.flush = [&server] { server.Flush(); };
   hooks.idle = [] { return true; };
-  std::thread signals([&loop, &ends] {
+  std::thread signals([&loop, &stop_signals] {
     int signal = 0;
-    sigwait(&ends, &signal);
+    sigwait(&stop_signals, &signal);
     loop.RequestStop();
   });
   std::cout << "listening on port " << server.Port() << std::endl;
--- a/fakes/fake_host.h
+++ b/fakes/fake_host.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief What the stand-ins for outside systems share: a small HTTP host on
-/// the adapters.
+/// @brief HTTP host shared by the fakes of external systems, built on the
+/// adapters.
 #pragma once
 
 #include <functional>
@@ -13,10 +13,10 @@
 
 namespace limpetlink {
 
-/// @brief JSON whose members keep their order.
+/// @brief JSON value that preserves the insertion order of members.
 using OrderedJson = nlohmann::ordered_json;
 
-/// @brief A single-threaded HTTP host with timers; driven by a CoreLoop.
+/// @brief A single-threaded HTTP host with timers, run by a CoreLoop.
 class FakeHost {
  public:
   using Handler = std::function<void(const CallerRequest&)>;
@@ -25,8 +25,8 @@
   /// @brief Called for each request.
   Handler on_request;
 
-  /// @brief Called when a caller left.
-  std::function<void(RequestId)> on_gone;
+  /// @brief Called when a caller disconnects; may be empty.
+  std::function<void(RequestId)> on_disconnect;
 
   Actions Start(Instant at);
   Actions Step(Instant at, const Event& event);
@@ -38,17 +38,17 @@
   /// @return the time of the current step
   Instant Now() const { return this->now; }
 
-  /// @brief Runs a function later.
-  void After(Duration delay, Timer timer);
+  /// @brief Schedules a function to run after a delay.
+  void RunAfter(Duration delay, Timer timer);
 
-  /// @brief Answers with a whole body.
+  /// @brief Sends a complete response.
   void Reply(RequestId id, int status, std::string body, Headers headers = {});
 
-  /// @brief Answers with JSON.
+  /// @brief Sends a complete JSON response.
   void ReplyJson(RequestId id, int status, const OrderedJson& body,
                  Headers headers = {});
 
-  /// @brief Starts a stream of server-sent events.
+  /// @brief Starts a response with status 200 that streams server-sent events.
   void BeginStream(RequestId id);
 
   /// @brief Sends bytes of a stream.
@@ -57,11 +57,11 @@
   /// @brief Ends a stream.
   void End(RequestId id);
 
-  /// @brief Cuts the caller's connection.
-  void Cut(RequestId id);
+  /// @brief Closes the caller's connection without completing the response.
+  void Abort(RequestId id);
 
  private:
-  Actions Taken();
+  Actions TakeActions();
 
   Instant now{};
   Actions actions;
@@ -69,26 +69,27 @@
   bool draining = false;
 };
 
-/// @brief Reads JSON without throwing.
-/// @return the value, or an empty object for text that is no JSON object
+/// @brief Parses a JSON object without throwing.
+/// @return the object, or an empty object if the text is not a JSON object
 OrderedJson ParseObject(std::string_view text);
 
-/// @brief Finds a parameter of a query.
-/// @return its text with percent escapes decoded, or `otherwise`
+/// @brief Returns a parameter of a URL query.
+/// @return the percent-decoded value, or `default_value` if it is missing
 std::string QueryValue(std::string_view query, std::string_view name,
-                       std::string otherwise);
+                       std::string default_value);
 
-/// @brief Finds a whole number in a query.
+/// @brief Returns an unsigned number from a URL query.
+/// @return the number, or `default_value` if it is missing or not a number
 std::uint64_t QueryNumber(std::string_view query, std::string_view name,
-                          std::uint64_t otherwise);
+                          std::uint64_t default_value);
 
 /// @brief Decodes percent escapes.
 std::string PercentDecode(std::string_view text);
 
 /// @brief Serves a fake until SIGTERM or SIGINT.
-/// @param fake its behaviour
+/// @param fake host with the handlers of the fake
 /// @param listen "ip:port"
-/// @return the exit code
+/// @return the exit code of the program
 int RunFake(FakeHost* fake, const std::string& listen);
 
 }  // namespace limpetlink
--- a/fakes/fake_platform.cc
+++ b/fakes/fake_platform.cc
@@ -6,7 +6,7 @@
 constexpr std::string_view kObjects = "/v1/objects/";
 constexpr std::string_view kWeights = "/v1/weights/";
 constexpr std::size_t kMaxValueBytes = 1U << 20U;
-constexpr std::uint64_t kLongestWatchMs = 60'000;
+constexpr std::uint64_t kMaxWatchMs = 60'000;
 constexpr std::uint64_t kDefaultListLimit = 1000;
 
 bool StartsWith(std::string_view text, std::string_view start) {
@@ -19,14 +19,14 @@
 
 Headers EtagHeader(std::uint64_t version) { return {{"ETag", Etag(version)}}; }
 
-OrderedJson Titled(std::string_view title) { return {{"title", title}}; }
+OrderedJson TitleBody(std::string_view title) { return {{"title", title}}; }
 
 std::uint64_t NumberOr(const OrderedJson& object, const char* name,
-                       std::uint64_t otherwise) {
+                       std::uint64_t default_value) {
   const auto found = object.find(name);
   return found != object.end() && found->is_number_unsigned()
              ? found->get<std::uint64_t>()
-             : otherwise;
+             : default_value;
 }
 
 }  // namespace
@@ -35,7 +35,7 @@
   host->on_request = [this](const CallerRequest& request) {
     this->Handle(request);
   };
-  host->on_gone = [this](RequestId id) {
+  host->on_disconnect = [this](RequestId id) {
     this->watches.remove_if(
         [id](const Watch& watch) { return watch.request == id; });
   };
@@ -53,19 +53,19 @@
   }
   if (this->faults.outage == "refuse") {
     ++this->counts["refused"];
-    this->host->ReplyJson(request.id, 503, Titled("outage"));
+    this->host->ReplyJson(request.id, 503, TitleBody("outage"));
     return;
   }
-  if (this->OverLimit(&this->calls_window, this->faults.calls_per_second)) {
-    this->ReplyLimited(request.id);
+  if (this->ExceedsRate(&this->calls_window, this->faults.calls_per_second)) {
+    this->ReplyRateLimited(request.id);
     return;
   }
   if (this->faults.delay_ms == 0) {
     this->Serve(request);
     return;
   }
-  this->host->After(std::chrono::milliseconds(this->faults.delay_ms),
-                    [this, request] { this->Serve(request); });
+  this->host->RunAfter(std::chrono::milliseconds(this->faults.delay_ms),
+                       [this, request] { this->Serve(request); });
 }
 
 void FakePlatform::Control(const CallerRequest& request) {
@@ -73,33 +73,35 @@
     this->SetFaults(ParseObject(request.body));
     this->host->ReplyJson(request.id, 200, OrderedJson::object());
   } else if (request.path == "/control/hosts" && request.method == "POST") {
-    const OrderedJson wanted = ParseObject(request.body);
-    this->hosts = wanted.value("hosts", OrderedJson::array());
+    const OrderedJson body = ParseObject(request.body);
+    this->hosts = body.value("hosts", OrderedJson::array());
     this->host->ReplyJson(request.id, 200, OrderedJson::object());
   } else if (request.path == "/control/counts") {
     OrderedJson all = this->counts;
     all["watches"] = this->watches.size();
     this->host->ReplyJson(request.id, 200, all);
   } else {
-    this->host->ReplyJson(request.id, 404, Titled("no such control"));
+    this->host->ReplyJson(request.id, 404, TitleBody("no such control"));
   }
 }
 
-void FakePlatform::SetFaults(const OrderedJson& wanted) {
-  PlatformFaults& now = this->faults;
-  now.outage = wanted.value("outage", now.outage);
-  now.delay_ms = NumberOr(wanted, "delay_ms", now.delay_ms);
-  now.lose_answers = NumberOr(wanted, "lose_answers", now.lose_answers);
-  now.lose_requests = NumberOr(wanted, "lose_requests", now.lose_requests);
-  now.calls_per_second =
-      NumberOr(wanted, "calls_per_second", now.calls_per_second);
-  now.weights_per_second =
-      NumberOr(wanted, "weights_per_second", now.weights_per_second);
-  if (now.outage == "none") {
+void FakePlatform::SetFaults(const OrderedJson& update) {
+  PlatformFaults& current = this->faults;
+  current.outage = update.value("outage", current.outage);
+  current.delay_ms = NumberOr(update, "delay_ms", current.delay_ms);
+  current.lose_responses =
+      NumberOr(update, "lose_answers", current.lose_responses);
+  current.lose_requests =
+      NumberOr(update, "lose_requests", current.lose_requests);
+  current.calls_per_second =
+      NumberOr(update, "calls_per_second", current.calls_per_second);
+  current.weights_per_second =
+      NumberOr(update, "weights_per_second", current.weights_per_second);
+  if (current.outage == "none") {
     return;
   }
   for (const Watch& watch : this->watches) {
-    this->host->Cut(watch.request);
+    this->host->Abort(watch.request);
   }
   this->watches.clear();
 }
@@ -110,9 +112,9 @@
     return;
   }
   if (StartsWith(request.path, kWeights)) {
-    if (this->OverLimit(&this->weights_window,
-                        this->faults.weights_per_second)) {
-      this->ReplyLimited(request.id);
+    if (this->ExceedsRate(&this->weights_window,
+                          this->faults.weights_per_second)) {
+      this->ReplyRateLimited(request.id);
       return;
     }
     ++this->counts["weights"];
@@ -121,7 +123,7 @@
     return;
   }
   if (!StartsWith(request.path, kObjects)) {
-    this->host->ReplyJson(request.id, 404, Titled("unknown path"));
+    this->host->ReplyJson(request.id, 404, TitleBody("unknown path"));
     return;
   }
   const std::string rest = request.path.substr(kObjects.size());
@@ -145,7 +147,7 @@
   } else if (request.method == "DELETE") {
     this->Delete(request, key);
   } else {
-    this->host->ReplyJson(request.id, 405, Titled("method not allowed"));
+    this->host->ReplyJson(request.id, 405, TitleBody("method not allowed"));
   }
 }
 
@@ -158,7 +160,7 @@
   ++this->counts["reads"];
   const auto found = this->objects.find(key);
   if (found == this->objects.end()) {
-    this->host->ReplyJson(request.id, 404, Titled("no such object"));
+    this->host->ReplyJson(request.id, 404, TitleBody("no such object"));
     return;
   }
   this->host->Reply(request.id, 200, found->second.value,
@@ -168,16 +170,16 @@
 void FakePlatform::WatchObject(const CallerRequest& request,
                                const std::string& key, std::uint64_t version) {
   ++this->counts["watch_calls"];
-  const std::uint64_t wait = std::min(
-      QueryNumber(request.query, "wait_ms", kLongestWatchMs), kLongestWatchMs);
+  const std::uint64_t wait =
+      std::min(QueryNumber(request.query, "wait_ms", kMaxWatchMs), kMaxWatchMs);
   this->watches.push_back({request.id, key, version});
   const RequestId id = request.id;
-  this->host->After(std::chrono::milliseconds(wait),
-                    [this, id] { this->EndWatch(id); });
-  this->TellWatches(key);
+  this->host->RunAfter(std::chrono::milliseconds(wait),
+                       [this, id] { this->TimeOutWatch(id); });
+  this->NotifyWatches(key);
 }
 
-void FakePlatform::EndWatch(RequestId id) {
+void FakePlatform::TimeOutWatch(RequestId id) {
   const std::size_t before = this->watches.size();
   this->watches.remove_if(
       [id](const Watch& watch) { return watch.request == id; });
@@ -186,7 +188,7 @@
   }
 }
 
-void FakePlatform::TellWatches(const std::string& key) {
+void FakePlatform::NotifyWatches(const std::string& key) {
   const auto found = this->objects.find(key);
   if (found == this->objects.end()) {
     return;
@@ -216,18 +218,18 @@
   }
   ++this->counts["conflicts"];
   this->host->ReplyJson(
-      request.id, 412, Titled("version conflict"),
+      request.id, 412, TitleBody("version conflict"),
       object == nullptr ? Headers{} : EtagHeader(object->version));
   return true;
 }
 
-bool FakePlatform::LoseAnswer(const CallerRequest& request) {
-  if (this->faults.lose_answers == 0) {
+bool FakePlatform::DropResponse(const CallerRequest& request) {
+  if (this->faults.lose_responses == 0) {
     return false;
   }
-  --this->faults.lose_answers;
+  --this->faults.lose_responses;
   ++this->counts["answers_lost"];
-  this->host->Cut(request.id);
+  this->host->Abort(request.id);
   return true;
 }
 
@@ -235,11 +237,11 @@
   ++this->counts["writes"];
   if (this->faults.lose_requests > 0) {
     --this->faults.lose_requests;
-    this->host->Cut(request.id);
+    this->host->Abort(request.id);
     return;
   }
   if (request.body_too_large || request.body.size() > kMaxValueBytes) {
-    this->host->ReplyJson(request.id, 413, Titled("value over 1 MB"));
+    this->host->ReplyJson(request.id, 413, TitleBody("value over 1 MB"));
     return;
   }
   const auto found = this->objects.find(key);
@@ -249,10 +251,10 @@
   }
   const std::uint64_t version = ++this->last_versions[key];
   this->objects[key] = {request.body, version};
-  if (!this->LoseAnswer(request)) {
+  if (!this->DropResponse(request)) {
     this->host->Reply(request.id, exists ? 200 : 201, "", EtagHeader(version));
   }
-  this->TellWatches(key);
+  this->NotifyWatches(key);
 }
 
 void FakePlatform::Delete(const CallerRequest& request,
@@ -260,7 +262,7 @@
   ++this->counts["writes"];
   const auto found = this->objects.find(key);
   if (found == this->objects.end()) {
-    this->host->ReplyJson(request.id, 404, Titled("no such object"));
+    this->host->ReplyJson(request.id, 404, TitleBody("no such object"));
     return;
   }
   if (this->ConditionFails(request, &found->second)) {
@@ -268,7 +270,7 @@
   }
   ++this->last_versions[key];
   this->objects.erase(found);
-  if (!this->LoseAnswer(request)) {
+  if (!this->DropResponse(request)) {
     this->host->Reply(request.id, 204, "");
   }
 }
@@ -294,7 +296,7 @@
   this->host->ReplyJson(request.id, 200, {{"objects", found}});
 }
 
-bool FakePlatform::OverLimit(Window* window, std::uint64_t limit) const {
+bool FakePlatform::ExceedsRate(RateWindow* window, std::uint64_t limit) const {
   if (limit == 0) {
     return false;
   }
@@ -304,9 +306,9 @@
   return ++window->calls > limit;
 }
 
-void FakePlatform::ReplyLimited(RequestId id) {
+void FakePlatform::ReplyRateLimited(RequestId id) {
   ++this->counts["limited"];
-  this->host->ReplyJson(id, 429, Titled("too many calls"),
+  this->host->ReplyJson(id, 429, TitleBody("too many calls"),
                         {{"Retry-After", "1"}});
 }
 
--- a/fakes/fake_platform.h
+++ b/fakes/fake_platform.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Stand-in for the platform: object API with versions, host list,
-/// weight store, faults.
+/// @brief Fake of the platform: versioned object API, host list, weight store
+/// and fault injection.
 #pragma once
 
 #include <list>
@@ -11,21 +11,21 @@
 
 namespace limpetlink {
 
-/// @brief What the platform does wrong now.
+/// @brief Faults injected into the platform.
 struct PlatformFaults {
   std::string outage = "none";  ///< "none", "refuse" (503) or "hang"
-  std::uint64_t delay_ms = 0;   ///< before each answer
-  std::uint64_t lose_answers =
-      0;  ///< of the next writes: applied, then the connection is cut
-  std::uint64_t lose_requests = 0;  ///< of the next writes: cut without effect
-  std::uint64_t calls_per_second = 0;    ///< above it 429; 0: no limit
-  std::uint64_t weights_per_second = 4;  ///< above it 429
+  std::uint64_t delay_ms = 0;   ///< delay before each request is handled
+  /// Number of writes to apply without a response.
+  std::uint64_t lose_responses = 0;
+  std::uint64_t lose_requests = 0;       ///< number of writes to drop
+  std::uint64_t calls_per_second = 0;    ///< 429 above this rate; 0: no limit
+  std::uint64_t weights_per_second = 4;  ///< 429 above this rate; 0: no limit
 };
 
-/// @brief Serves the platform's protocol (docs/fakes.md).
+/// @brief Implements the platform protocol described in docs/fakes.md.
 class FakePlatform {
  public:
-  /// @param host carries requests and answers; outlives the platform
+  /// @param host HTTP host, which must outlive the platform
   explicit FakePlatform(FakeHost* host);
 
  private:
@@ -38,14 +38,14 @@
     std::string key;
     std::uint64_t version = 0;
   };
-  struct Window {
+  struct RateWindow {
     Instant start{};
     std::uint64_t calls = 0;
   };
 
   void Handle(const CallerRequest& request);
   void Control(const CallerRequest& request);
-  void SetFaults(const OrderedJson& wanted);
+  void SetFaults(const OrderedJson& update);
   void Serve(const CallerRequest& request);
   void ServeObject(const CallerRequest& request, const std::string& kind,
                    const std::string& name);
@@ -55,22 +55,22 @@
   void List(const CallerRequest& request, const std::string& kind);
   void WatchObject(const CallerRequest& request, const std::string& key,
                    std::uint64_t version);
-  void EndWatch(RequestId id);
-  void TellWatches(const std::string& key);
+  void TimeOutWatch(RequestId id);
+  void NotifyWatches(const std::string& key);
   bool ConditionFails(const CallerRequest& request, const Object* object);
-  bool LoseAnswer(const CallerRequest& request);
-  bool OverLimit(Window* window, std::uint64_t limit) const;
-  void ReplyLimited(RequestId id);
+  bool DropResponse(const CallerRequest& request);
+  bool ExceedsRate(RateWindow* window, std::uint64_t limit) const;
+  void ReplyRateLimited(RequestId id);
 
   FakeHost* host;
   PlatformFaults faults;
   std::map<std::string, Object> objects;  ///< by "kind/name"
-  std::map<std::string, std::uint64_t>
-      last_versions;  ///< also of deleted objects
+  /// Includes deleted objects.
+  std::map<std::string, std::uint64_t> last_versions;
   std::list<Watch> watches;
   std::map<std::string, std::uint64_t> counts;
-  Window calls_window;
-  Window weights_window;
+  RateWindow calls_window;
+  RateWindow weights_window;
   OrderedJson hosts = OrderedJson::array();
 };
 
--- a/fakes/fake_platform_main.cc
+++ b/fakes/fake_platform_main.cc
@@ -4,7 +4,7 @@
 int main(int argc, char** argv) {
   std::string listen;
   limpetlink::SettingsParser parser("limpet-fake-platform",
-                                    "Stands in for the platform in tests.");
+                                    "Fake of the platform for tests.");
   parser.Address("listen", "address to serve on, ip:port", &listen,
                  limpetlink::Requirement::kRequired);
   if (const std::optional<int> code = parser.ParseOrExitCode(argc, argv)) {
--- a/fakes/fake_service.cc
+++ b/fakes/fake_service.cc
@@ -20,28 +20,28 @@
                            {"draining", this->faults.draining}});
     return;
   }
-  const std::string fault = this->TakeFault();
+  const std::string fault = this->ConsumeFault();
   if (fault == "refuse" || this->faults.draining) {
     this->host->ReplyJson(request.id, 503, {{"outcome", "not_run"}});
   } else if (fault == "cut_before") {
-    this->host->Cut(request.id);
+    this->host->Abort(request.id);
   } else if (fault == "cut_after") {
     this->Execute(request);
-    this->host->Cut(request.id);
+    this->host->Abort(request.id);
   } else if (fault != "hang") {
     this->Execute(request);
     ++this->running;
-    const OrderedJson answer = this->executions.back();
+    const OrderedJson response = this->executions.back();
     const RequestId id = request.id;
-    this->host->After(std::chrono::milliseconds(this->faults.delay_ms),
-                      [this, id, answer] {
-                        --this->running;
-                        this->host->ReplyJson(id, 200, answer);
-                      });
+    this->host->RunAfter(std::chrono::milliseconds(this->faults.delay_ms),
+                         [this, id, response] {
+                           --this->running;
+                           this->host->ReplyJson(id, 200, response);
+                         });
   }
 }
 
-std::string FakeService::TakeFault() {
+std::string FakeService::ConsumeFault() {
   std::string fault = this->faults.fault;
   if (fault != "none" && this->faults.times > 0 && --this->faults.times == 0) {
     this->faults.fault = "none";
@@ -70,11 +70,11 @@
     this->host->ReplyJson(request.id, 404, {{"title", "no such control"}});
     return;
   }
-  const OrderedJson wanted = ParseObject(request.body);
-  this->faults.fault = wanted.value("fault", this->faults.fault);
-  this->faults.times = wanted.value("times", std::uint64_t{0});
-  this->faults.delay_ms = wanted.value("delay_ms", this->faults.delay_ms);
-  this->faults.draining = wanted.value("draining", this->faults.draining);
+  const OrderedJson update = ParseObject(request.body);
+  this->faults.fault = update.value("fault", this->faults.fault);
+  this->faults.times = update.value("times", std::uint64_t{0});
+  this->faults.delay_ms = update.value("delay_ms", this->faults.delay_ms);
+  this->faults.draining = update.value("draining", this->faults.draining);
   this->host->ReplyJson(request.id, 200, OrderedJson::object());
 }
 
--- a/fakes/fake_service.h
+++ b/fakes/fake_service.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Stand-in for an application service: runs orders and lookups, and
-/// counts each execution.
+/// @brief Fake of an application service: executes orders and lookups, and
+/// records each execution.
 #pragma once
 
 #include <string>
@@ -9,26 +9,26 @@
 
 namespace limpetlink {
 
-/// @brief What the service does wrong now.
+/// @brief Faults injected into the service.
 struct ServiceFaults {
   std::string fault =
       "none";  ///< "none", "cut_before", "cut_after", "refuse" or "hang"
-  std::uint64_t times = 0;     ///< requests that the fault still meets; 0: all
-  std::uint64_t delay_ms = 0;  ///< before each answer, after the execution
-  bool draining = false;       ///< reported, and new requests are refused
+  std::uint64_t times = 0;     ///< requests that the fault applies to; 0: all
+  std::uint64_t delay_ms = 0;  ///< delay between execution and response
+  bool draining = false;       ///< reported; new requests are rejected
 };
 
-/// @brief Serves any method and path (docs/fakes.md).
+/// @brief Serves any method and path, as described in docs/fakes.md.
 class FakeService {
  public:
-  /// @param host carries requests and answers; outlives the service
+  /// @param host HTTP host, which must outlive the service
   explicit FakeService(FakeHost* host);
 
  private:
   void Handle(const CallerRequest& request);
   void Control(const CallerRequest& request);
   void Execute(const CallerRequest& request);
-  std::string TakeFault();
+  std::string ConsumeFault();
 
   FakeHost* host;
   ServiceFaults faults;
