--- a/bench/fleet_slopes.cc
+++ b/bench/fleet_slopes.cc
@@ -12,8 +12,8 @@
 namespace {
 
 using nlohmann::json;
-using testing::World;
-using testing::WorldOptions;
+using testing::FleetSimulation;
+using testing::FleetSimulationOptions;
 
 constexpr int kWorkersPerHost = 12;
 constexpr int kMeasuredSeconds = 60;
@@ -34,9 +34,10 @@
   double seconds;
 };
 
-Counted Count(const World& world) {
-  return {world.peer_frames,    world.peer_bytes,   world.peer_bytes_by_kind,
-          world.platform_calls, world.report_calls, ThreadSeconds()};
+Counted Count(const FleetSimulation& simulation) {
+  return {simulation.peer_frames,        simulation.peer_bytes,
+          simulation.peer_bytes_by_kind, simulation.platform_calls,
+          simulation.report_calls,       ThreadSeconds()};
 }
 
 json PerHostSecond(const Counted& before, const Counted& after,
@@ -62,50 +63,52 @@
       {"core_percent", (after.seconds - before.seconds) * scale * 100}};
 }
 
-void SendRequests(World& world, std::size_t hosts, double per_host_second) {
+void SendRequests(FleetSimulation& simulation, std::size_t hosts,
+                  double per_host_second) {
   const Duration gap =
       FromSeconds(1.0 / (per_host_second * static_cast<double>(hosts)));
   Random random(7);
   const Instant end =
-      world.timeline.Now() + std::chrono::seconds(kMeasuredSeconds);
-  while (world.timeline.Now() < end) {
+      simulation.timeline.Now() + std::chrono::seconds(kMeasuredSeconds);
+  while (simulation.timeline.Now() < end) {
     CallerRequest request;
     request.method = "POST";
     request.path = "/v1/completions";
     request.body = R"({"model":"model","prompt":"p","max_tokens":400})";
-    world.Send(random.Below(hosts), std::move(request),
-               std::chrono::seconds(60));
-    world.RunFor(gap);
+    simulation.Send(random.Below(hosts), std::move(request),
+                    std::chrono::seconds(60));
+    simulation.RunFor(gap);
   }
 }
 
 json Measure(std::size_t hosts, double requests) {
-  WorldOptions options;
+  FleetSimulationOptions options;
   options.hosts = hosts;
   options.engines = hosts * kWorkersPerHost;
   options.services = 0;
   options.tokens = 100;
-  World world(options);
-  if (!world.RunUntilReady()) {
+  FleetSimulation simulation(options);
+  if (!simulation.RunUntilReady()) {
     return {{"hosts", hosts}, {"error", "the hosts never came to serve"}};
   }
-  world.RunFor(std::chrono::seconds(60));
-  const Counted start = Count(world);
-  world.RunFor(std::chrono::seconds(kMeasuredSeconds));
-  const Counted idle = Count(world);
+  simulation.RunFor(std::chrono::seconds(60));
+  const Counted start = Count(simulation);
+  simulation.RunFor(std::chrono::seconds(kMeasuredSeconds));
+  const Counted idle = Count(simulation);
   json row = {{"hosts", hosts},
               {"workers", options.engines},
               {"idle_per_host_second", PerHostSecond(start, idle, hosts)}};
   if (requests > 0) {
-    SendRequests(world, hosts, requests);
+    SendRequests(simulation, hosts, requests);
     std::size_t answered = 0;
-    for (const testing::CallerLog& log : world.callers) {
+    for (const testing::CallerLog& log : simulation.callers) {
       answered += log.status == 200 ? 1 : 0;
     }
     row["requests_per_host_second"] = requests;
-    row["sent"] = world.callers.size();
+    row["sent"] = simulation.callers.size();
     row["answered"] = answered;
-    row["loaded_per_host_second"] = PerHostSecond(idle, Count(world), hosts);
+    row["loaded_per_host_second"] =
+        PerHostSecond(idle, Count(simulation), hosts);
   }
   return row;
 }
--- a/bench/hosts.cc
+++ b/bench/hosts.cc
@@ -114,20 +114,20 @@
 void RunUntilAgreed(HostGroup* group, Duration limit) {
   const Instant end = group->now + limit;
   while (!group->ViewsAgree() && group->now < end) {
-    group->Run(std::chrono::milliseconds(200));
+    group->RunFor(std::chrono::milliseconds(200));
   }
 }
 
 Json MeasureSteady(HostGroup* group) {
   const Sample before = Take(*group);
-  group->Run(kSteady);
+  group->RunFor(kSteady);
   return Rates(*group, before, kSteady);
 }
 
 std::size_t MostNeighbours(const HostGroup& group) {
   std::size_t most = 0;
   for (const GroupHost& host : group.hosts) {
-    if (host.up) {
+    if (host.running) {
       most = std::max(most, host.membership->Neighbours().size());
     }
   }
@@ -155,7 +155,7 @@
     all.push_back(ToSeconds(group->now - began));
     group->on_live = {};
     group->StartHost(victim);
-    group->Run(seconds(20));
+    group->RunFor(seconds(20));
   }
   return {{"first_s_p50", Quantile(first, 0.5)},
           {"first_s_max", Quantile(first, 1)},
@@ -169,13 +169,13 @@
   const Instant began = group->now;
   for (int i = 0; i < count; ++i) {
     const Instant written = group->now;
-    group->on_adopted = [&](std::size_t, const ConfigurationApplied&) {
+    group->on_applied = [&](std::size_t, const ConfigurationApplied&) {
       spread.push_back(ToSeconds(group->now - written));
     };
     group->WriteDocument(Document(bytes, static_cast<std::uint64_t>(i) + 2));
-    group->Run(kBetweenChanges);
+    group->RunFor(kBetweenChanges);
   }
-  group->on_adopted = {};
+  group->on_applied = {};
   Json rates = Rates(*group, before, group->now - began);
   rates["document_bytes"] = Document(bytes, 1).size();
   rates["adoptions"] = spread.size();
@@ -189,17 +189,17 @@
 
 Json MeasurePartition(HostGroup* group) {
   const std::size_t half = group->hosts.size() / 3;
-  group->cut = [half](std::size_t a, std::size_t b) {
+  group->drop_frame = [half](std::size_t a, std::size_t b) {
     return (a < half) != (b < half);
   };
-  group->Run(minutes(4));
-  group->cut = {};
+  group->RunFor(minutes(4));
+  group->drop_frame = {};
   const Sample before = Take(*group);
   const Instant healed = group->now;
   RunUntilAgreed(group, minutes(5));
   const double heal = ToSeconds(group->now - healed);
-  group->Run(seconds(60) -
-             std::min<Duration>(seconds(60), group->now - healed));
+  group->RunFor(seconds(60) -
+                std::min<Duration>(seconds(60), group->now - healed));
   Json result = Rates(*group, before, group->now - healed);
   result["heal_s"] = heal;
   return result;
@@ -213,7 +213,7 @@
   group.StartAll();
   RunUntilAgreed(&group, seconds(120));
   const double joined = ToSeconds(group.now - Instant(seconds(1000)));
-  group.Run(seconds(30));
+  group.RunFor(seconds(30));
   Json result = {{"hosts", hosts}, {"seed", 42}, {"join_s", joined}};
   result["steady"] = MeasureSteady(&group);
   result["most_neighbours"] = MostNeighbours(group);
--- a/tests/core/engine_fake.h
+++ b/tests/core/engine_fake.h
@@ -33,10 +33,10 @@
   void ReportDraining(bool on) { this->reports_draining = on; }
 
   /// @return generations accepted since the start
-  std::uint64_t Accepted() const { return this->accepted; }
+  std::uint64_t AcceptedCount() const { return this->accepted; }
 
   /// @return when the last generation was accepted
-  Instant LastAccepted() const { return this->last_accepted; }
+  Instant LastAcceptedAt() const { return this->last_accepted; }
 
  private:
   struct Generation {
@@ -47,18 +47,19 @@
   };
 
   void OnRequest(ExchangeId id, const HttpCall& call);
-  void Start(ExchangeId id, const HttpCall& call);
-  void Resume(ExchangeId id, const std::string& generation,
-              std::uint64_t offset);
-  void Produce(const std::string& generation);
-  void Feed(const std::string& generation);
-  void Report(ExchangeId id);
+  void StartGeneration(ExchangeId id, const HttpCall& call);
+  void ResumeGeneration(ExchangeId id, const std::string& generation,
+                        std::uint64_t offset);
+  void ProduceToken(const std::string& generation);
+  void SendTokens(const std::string& generation);
+  void SendLoadReport(ExchangeId id);
 
   Network& network;
   Timeline& timeline;
   std::string name;
   std::uint64_t tokens;
-  std::uint64_t life = 0;  ///< rises at each death, so that old work stops
+  std::uint64_t incarnation =
+      0;  ///< rises at each death, so that old work stops
   bool draining = false;
   bool reports_draining = false;
   std::uint64_t accepted = 0;
--- a/tests/core/fault_matrix.cc
+++ b/tests/core/fault_matrix.cc
@@ -9,13 +9,13 @@
 namespace limpetlink::testing {
 namespace {
 
-constexpr Duration kCallerWait = std::chrono::seconds(20);
-constexpr Duration kFaultTime = std::chrono::seconds(6);
+constexpr Duration kRequestTimeout = std::chrono::seconds(20);
+constexpr Duration kFaultDuration = std::chrono::seconds(6);
 constexpr Duration kReclaimNotice = std::chrono::seconds(2);
-constexpr Duration kSlowAnswer = std::chrono::seconds(3);
+constexpr Duration kSlowResponseDelay = std::chrono::seconds(3);
 constexpr Duration kDeadlineSlack = std::chrono::seconds(1);
-constexpr Duration kSettleTime = std::chrono::seconds(30);
-constexpr Duration kSpreadLimit = std::chrono::seconds(13);
+constexpr Duration kRecoveryTime = std::chrono::seconds(30);
+constexpr Duration kPropagationLimit = std::chrono::seconds(13);
 constexpr std::uint64_t kTokens = 12;
 constexpr std::size_t kServingHost = 0;
 constexpr std::size_t kOtherHost = 1;
@@ -49,66 +49,74 @@
 }
 
 /// One run while it goes on.
-class Run {
+class MatrixRunner {
  public:
-  explicit Run(const MatrixRun& matrix_run)
+  explicit MatrixRunner(const MatrixRun& matrix_run)
       : run(matrix_run),
-        world(WorldOptions{matrix_run.seed, 2, 2, 2, kTokens, "restart"}) {}
+        simulation(FleetSimulationOptions{matrix_run.seed, 2, 2, 2, kTokens,
+                                          "restart"}) {}
 
-  MatrixRunResult Go() {
-    if (!this->world.RunUntilReady()) {
+  MatrixRunResult Run() {
+    if (!this->simulation.RunUntilReady()) {
       this->result.violations.emplace_back("the hosts never came to serve");
       return this->result;
     }
-    this->world.RunFor(std::chrono::seconds(2));
-    this->world.network.on_step = [this](const TraceStep&) { this->OnStep(); };
-    this->Begin();
-    this->world.RunUntil([this] { return this->ActivityOver(); },
-                         kCallerWait + kFaultTime);
+    this->simulation.RunFor(std::chrono::seconds(2));
+    this->simulation.network.on_step = [this](const TraceStep&) {
+      this->OnStep();
+    };
+    this->StartActivity();
+    this->simulation.RunUntil([this] { return this->ActivityFinished(); },
+                              kRequestTimeout + kFaultDuration);
     this->result.steps = this->steps;
-    this->world.network.on_step = nullptr;
-    this->world.RunFor(kSettleTime);
-    this->After();
+    this->simulation.network.on_step = nullptr;
+    this->simulation.RunFor(kRecoveryTime);
+    this->RunFollowUps();
     this->Check();
     return this->result;
   }
 
  private:
-  void Begin() {
+  void StartActivity() {
     switch (this->run.activity) {
       case Activity::kStream:
-        this->world.Send(kServingHost, CompletionRequest(true), kCallerWait);
+        this->simulation.Send(kServingHost, CompletionRequest(true),
+                              kRequestTimeout);
         break;
-      case Activity::kWholeAnswer:
-        this->world.Send(kServingHost, CompletionRequest(false), kCallerWait);
+      case Activity::kCompleteResponse:
+        this->simulation.Send(kServingHost, CompletionRequest(false),
+                              kRequestTimeout);
         break;
       case Activity::kOrder:
-        this->world.Send(kServingHost, OrderRequest(true), kCallerWait);
+        this->simulation.Send(kServingHost, OrderRequest(true),
+                              kRequestTimeout);
         break;
       case Activity::kLookup:
-        this->world.Send(kServingHost, LookupRequest(), kCallerWait);
+        this->simulation.Send(kServingHost, LookupRequest(), kRequestTimeout);
         break;
       case Activity::kConfigurationChange:
-        this->world.ApplyDocument();
+        this->simulation.ApplyDocument();
         break;
       case Activity::kShutdown:
-        this->world.Send(kServingHost, CompletionRequest(true), kCallerWait);
-        this->world.Send(kServingHost, OrderRequest(true), kCallerWait);
-        this->world.RunFor(std::chrono::milliseconds(30));
-        this->world.DrainHost(kServingHost);
+        this->simulation.Send(kServingHost, CompletionRequest(true),
+                              kRequestTimeout);
+        this->simulation.Send(kServingHost, OrderRequest(true),
+                              kRequestTimeout);
+        this->simulation.RunFor(std::chrono::milliseconds(30));
+        this->simulation.DrainHost(kServingHost);
         break;
     }
   }
 
-  bool ActivityOver() {
+  bool ActivityFinished() {
     if (this->run.activity == Activity::kConfigurationChange) {
       const std::uint64_t newest =
-          this->world.platform.VersionOf("fleet/fleet");
-      return this->world.FleetVersion(kServingHost) >= newest &&
-             this->world.FleetVersion(kOtherHost) >= newest;
+          this->simulation.platform.VersionOf("fleet/fleet");
+      return this->simulation.ActiveFleetVersion(kServingHost) >= newest &&
+             this->simulation.ActiveFleetVersion(kOtherHost) >= newest;
     }
-    for (std::size_t i = 0; i < this->world.callers.size(); ++i) {
-      if (!this->world.Over(i)) {
+    for (std::size_t i = 0; i < this->simulation.callers.size(); ++i) {
+      if (!this->simulation.IsFinished(i)) {
         return false;
       }
     }
@@ -118,130 +126,136 @@
   void OnStep() {
     ++this->steps;
     if (this->steps == this->run.first_step) {
-      this->Break(this->run.first);
+      this->ScheduleFault(this->run.first);
     }
     if (this->steps == this->run.second_step) {
-      this->Break(this->run.second);
+      this->ScheduleFault(this->run.second);
     }
   }
 
   /// Faults strike between two events, since a step may be in the middle of
   /// one.
-  void Break(Fault fault) {
-    this->world.timeline.After(Duration(0),
-                               [this, fault] { this->Strike(fault); });
+  void ScheduleFault(Fault fault) {
+    this->simulation.timeline.Schedule(
+        Duration(0), [this, fault] { this->InjectFault(fault); });
   }
 
-  void Strike(Fault fault) {
+  void InjectFault(Fault fault) {
     switch (fault) {
       case Fault::kNone:
         break;
       case Fault::kEngineDies:
-        this->BusyEngine().Kill();
+        this->LastUsedEngine().Kill();
         break;
       case Fault::kEngineReclaimed:
         this->ReclaimEngine();
         break;
       case Fault::kServiceDies:
-        this->world.services[0]->Kill();
+        this->simulation.services[0]->Kill();
         break;
       case Fault::kHostDies:
-        this->world.KillHost(kServingHost);
+        this->simulation.KillHost(kServingHost);
         break;
       case Fault::kLinkStalls:
         this->StallLinks();
         break;
       case Fault::kPlatformDown:
-        this->world.platform.SetOutage(true);
-        this->Later([this] { this->world.platform.SetOutage(false); });
+        this->simulation.platform.SetOutage(true);
+        this->ScheduleRecovery(
+            [this] { this->simulation.platform.SetOutage(false); });
         break;
       case Fault::kPlatformSlow:
-        this->world.network.SetDelay("platform", kSlowAnswer);
-        this->Later(
-            [this] { this->world.network.SetDelay("platform", Duration(0)); });
+        this->simulation.network.SetDelay("platform", kSlowResponseDelay);
+        this->ScheduleRecovery([this] {
+          this->simulation.network.SetDelay("platform", Duration(0));
+        });
         break;
-      case Fault::kAnswerLost:
-        this->world.platform.LoseNextWriteAnswer();
+      case Fault::kResponseLost:
+        this->simulation.platform.DropNextWriteResponse();
         break;
       case Fault::kHostPaused:
         this->PauseHost();
         break;
       case Fault::kOperatorsRace:
-        this->world.ApplyDocument();
-        this->world.ApplyDocument();
+        this->simulation.ApplyDocument();
+        this->simulation.ApplyDocument();
         break;
       case Fault::kHostLeaves:
-        this->world.DrainHost(kServingHost);
+        this->simulation.DrainHost(kServingHost);
         break;
     }
   }
 
-  void Later(std::function<void()> work) {
-    this->world.timeline.After(kFaultTime, std::move(work));
+  void ScheduleRecovery(std::function<void()> recover) {
+    this->simulation.timeline.Schedule(kFaultDuration, std::move(recover));
   }
 
-  EngineFake& BusyEngine() {
-    const bool second = this->world.engines[1]->LastAccepted() >
-                        this->world.engines[0]->LastAccepted();
-    return *this->world.engines[second ? 1 : 0];
+  EngineFake& LastUsedEngine() {
+    const bool other = this->simulation.engines[1]->LastAcceptedAt() >
+                       this->simulation.engines[0]->LastAcceptedAt();
+    return *this->simulation.engines[other ? 1 : 0];
   }
 
   void ReclaimEngine() {
-    EngineFake& engine = this->BusyEngine();
+    EngineFake& engine = this->LastUsedEngine();
     engine.Drain();
-    this->world.timeline.After(kReclaimNotice, [&engine] { engine.Kill(); });
+    this->simulation.timeline.Schedule(kReclaimNotice,
+                                       [&engine] { engine.Kill(); });
   }
 
   void StallLinks() {
     const std::vector<std::string> servers = {"127.0.0.1:9000",
                                               "127.0.0.1:9500"};
     for (const std::string& server : servers) {
-      this->world.network.SetLink(server, LinkState::kStalled);
+      this->simulation.network.SetLink(server, LinkState::kStalled);
     }
-    this->Later([this, servers] {
+    this->ScheduleRecovery([this, servers] {
       for (const std::string& server : servers) {
-        this->world.network.SetLink(server, LinkState::kUp);
+        this->simulation.network.SetLink(server, LinkState::kUp);
       }
     });
   }
 
   void PauseHost() {
-    this->world.FreezeHost(kServingHost);
+    this->simulation.FreezeHost(kServingHost);
     this->paused = true;
-    this->Later([this] { this->world.ThawHost(kServingHost); });
+    this->ScheduleRecovery([this] { this->simulation.ThawHost(kServingHost); });
   }
 
   /// What a caller or operator does once the faults are over.
-  void After() {
+  void RunFollowUps() {
     if (this->run.activity == Activity::kOrder ||
         this->run.activity == Activity::kShutdown) {
-      const std::size_t repeat =
-          this->world.Send(kOtherHost, OrderRequest(false), kCallerWait);
-      this->world.RunUntil([&] { return this->world.Over(repeat); },
-                           kCallerWait + kDeadlineSlack);
+      const std::size_t repeat = this->simulation.Send(
+          kOtherHost, OrderRequest(false), kRequestTimeout);
+      this->simulation.RunUntil(
+          [&] { return this->simulation.IsFinished(repeat); },
+          kRequestTimeout + kDeadlineSlack);
     }
     if (this->run.activity == Activity::kStream) {
-      this->TakeUpStream();
+      this->ResumeStream();
     }
   }
 
   /// A caller whose host died goes on at another one.
-  void TakeUpStream() {
-    const CallerLog broken = this->world.callers[0];
-    const StreamContent content = ReadStream(broken.body);
-    if (!broken.aborted || content.last_event_id.empty()) {
+  void ResumeStream() {
+    const CallerLog interrupted = this->simulation.callers[0];
+    const StreamContent content = ReadStream(interrupted.body);
+    if (!interrupted.aborted || content.last_event_id.empty()) {
       return;
     }
-    CallerRequest again = CompletionRequest(true);
-    again.headers.push_back({"Last-Event-ID", content.last_event_id});
-    const std::size_t caller = this->world.Send(kOtherHost, again, kCallerWait);
-    this->world.RunUntil([&] { return this->world.Over(caller); },
-                         kCallerWait + kDeadlineSlack);
-    const StreamContent whole =
-        ReadStream(this->world.callers[caller].body, content);
-    this->Add(whole.faults);
-    if (!whole.done && whole.error.empty() &&
-        this->world.callers[caller].status == 200) {
+    CallerRequest resumption = CompletionRequest(true);
+    resumption.headers.push_back({"Last-Event-ID", content.last_event_id});
+    const std::size_t caller =
+        this->simulation.Send(kOtherHost, resumption, kRequestTimeout);
+    this->simulation.RunUntil(
+        [&] { return this->simulation.IsFinished(caller); },
+        kRequestTimeout + kDeadlineSlack);
+    const StreamContent resumed =
+        ReadStream(this->simulation.callers[caller].body, content);
+    this->AddViolations(resumed.violations);
+    if (!resumed.done && resumed.error.empty() &&
+        this->simulation.callers[caller].status == 200) {
       this->result.violations.emplace_back(
           "a stream taken up elsewhere has no end");
     }
@@ -249,25 +263,26 @@
 
   void Check() {
     const Duration slack =
-        kDeadlineSlack + (this->paused ? kFaultTime : Duration(0));
-    this->Add(CheckDeadlines(this->world, slack));
-    this->Add(CheckOrders(this->world));
-    this->Add(this->world.violations);
+        kDeadlineSlack + (this->paused ? kFaultDuration : Duration(0));
+    this->AddViolations(CheckDeadlines(this->simulation, slack));
+    this->AddViolations(CheckOrders(this->simulation));
+    this->AddViolations(this->simulation.violations);
     if (this->run.activity == Activity::kStream ||
         this->run.activity == Activity::kShutdown) {
-      this->Add(CheckStream(this->world.callers[0], kTokens));
+      this->AddViolations(CheckStream(this->simulation.callers[0], kTokens));
     }
     this->CheckVersions();
-    this->CheckWholeWithoutReason();
+    this->CheckCompletionSucceeds();
   }
 
   /// After all faults are over every living host has the newest document.
   void CheckVersions() {
-    const std::uint64_t newest = this->world.platform.VersionOf("fleet/fleet");
-    this->world.RunFor(kSpreadLimit);
+    const std::uint64_t newest =
+        this->simulation.platform.VersionOf("fleet/fleet");
+    this->simulation.RunFor(kPropagationLimit);
     for (const std::size_t host : {kServingHost, kOtherHost}) {
-      if (this->world.HostLives(host) &&
-          this->world.FleetVersion(host) != newest) {
+      if (this->simulation.IsHostRunning(host) &&
+          this->simulation.ActiveFleetVersion(host) != newest) {
         this->result.violations.emplace_back(
             "a host lacks the newest document");
       }
@@ -276,39 +291,39 @@
 
   /// Faults that leave an engine and the caller's host alone must not cost the
   /// answer.
-  void CheckWholeWithoutReason() {
-    const bool harmless =
-        this->IsHarmless(this->run.first) && this->IsHarmless(this->run.second);
+  void CheckCompletionSucceeds() {
+    const bool must_succeed = this->MustNotFailCompletions(this->run.first) &&
+                              this->MustNotFailCompletions(this->run.second);
     const bool completion = this->run.activity == Activity::kStream ||
-                            this->run.activity == Activity::kWholeAnswer ||
+                            this->run.activity == Activity::kCompleteResponse ||
                             this->run.activity == Activity::kShutdown;
-    if (harmless && completion && this->world.callers[0].status != 200) {
+    if (must_succeed && completion &&
+        this->simulation.callers[0].status != 200) {
       this->result.violations.emplace_back(
           "a completion failed though an engine was there");
     }
   }
 
-  bool IsHarmless(Fault fault) const {
-    const bool leaves_while_received =
-        fault == Fault::kHostLeaves &&
-        this->run.activity != Activity::kShutdown;
+  bool MustNotFailCompletions(Fault fault) const {
+    const bool leaves_while_serving = fault == Fault::kHostLeaves &&
+                                      this->run.activity != Activity::kShutdown;
     return fault != Fault::kHostDies && fault != Fault::kHostPaused &&
-           !leaves_while_received;
+           !leaves_while_serving;
   }
 
-  void Add(const std::vector<std::string>& violations) {
+  void AddViolations(const std::vector<std::string>& violations) {
     this->result.violations.insert(this->result.violations.end(),
                                    violations.begin(), violations.end());
   }
 
   MatrixRun run;
-  World world;
+  FleetSimulation simulation;
   MatrixRunResult result;
   std::uint64_t steps = 0;
   bool paused = false;
 };
 
-void Count(MatrixCellResult& cell, const MatrixRun& run) {
+void RecordRun(MatrixCellResult& cell, const MatrixRun& run) {
   const MatrixRunResult result = Execute(run);
   ++cell.runs;
   if (!result.violations.empty()) {
@@ -320,7 +335,7 @@
   }
 }
 
-std::uint64_t StepsOf(Activity activity, std::uint64_t seed) {
+std::uint64_t CountSteps(Activity activity, std::uint64_t seed) {
   MatrixRun faultless;
   faultless.activity = activity;
   faultless.seed = seed;
@@ -329,7 +344,9 @@
 
 }  // namespace
 
-MatrixRunResult Execute(const MatrixRun& run) { return Run(run).Go(); }
+MatrixRunResult Execute(const MatrixRun& run) {
+  return MatrixRunner(run).Run();
+}
 
 MatrixCellResult ExecuteCell(Fault fault, Activity activity,
                              std::uint64_t seeds) {
@@ -337,7 +354,7 @@
   cell.fault = fault;
   cell.activity = activity;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    const std::uint64_t steps = StepsOf(activity, seed);
+    const std::uint64_t steps = CountSteps(activity, seed);
     for (std::uint64_t step = 1; step <= std::max<std::uint64_t>(steps, 1);
          ++step) {
       MatrixRun run;
@@ -345,7 +362,7 @@
       run.first = fault;
       run.first_step = step;
       run.seed = seed;
-      Count(cell, run);
+      RecordRun(cell, run);
     }
   }
   return cell;
@@ -360,7 +377,8 @@
       StableHash(ToText(fault), static_cast<std::uint64_t>(activity)));
   constexpr std::uint64_t kFaults =
       static_cast<std::uint64_t>(Fault::kHostLeaves);
-  const std::uint64_t steps = std::max<std::uint64_t>(StepsOf(activity, 1), 1);
+  const std::uint64_t steps =
+      std::max<std::uint64_t>(CountSteps(activity, 1), 1);
   for (std::uint64_t i = 0; i < runs; ++i) {
     MatrixRun run;
     run.activity = activity;
@@ -369,7 +387,7 @@
     run.second = static_cast<Fault>(1 + random.Below(kFaults));
     run.second_step = 1 + random.Below(2 * steps);
     run.seed = 1 + random.Below(1000);
-    Count(cell, run);
+    RecordRun(cell, run);
   }
   return cell;
 }
--- a/tests/core/fault_matrix.h
+++ b/tests/core/fault_matrix.h
@@ -21,7 +21,7 @@
   kLinkStalls,
   kPlatformDown,
   kPlatformSlow,
-  kAnswerLost,
+  kResponseLost,
   kHostPaused,
   kOperatorsRace,
   kHostLeaves,
@@ -30,7 +30,7 @@
 /// @brief What goes on while it fails.
 enum class Activity {
   kStream,
-  kWholeAnswer,
+  kCompleteResponse,
   kOrder,
   kLookup,
   kConfigurationChange,
@@ -52,7 +52,7 @@
       {testing::Fault::kLinkStalls, "link stalls"},
       {testing::Fault::kPlatformDown, "platform is down"},
       {testing::Fault::kPlatformSlow, "platform is slow"},
-      {testing::Fault::kAnswerLost, "answer lost after the write"},
+      {testing::Fault::kResponseLost, "answer lost after the write"},
       {testing::Fault::kHostPaused, "host is paused and wakes"},
       {testing::Fault::kOperatorsRace, "operators race"},
       {testing::Fault::kHostLeaves, "host leaves"}};
@@ -62,7 +62,7 @@
 struct EnumTable<testing::Activity> {
   static constexpr EnumName<testing::Activity> kRows[] = {
       {testing::Activity::kStream, "stream"},
-      {testing::Activity::kWholeAnswer, "whole answer"},
+      {testing::Activity::kCompleteResponse, "whole answer"},
       {testing::Activity::kOrder, "order"},
       {testing::Activity::kLookup, "lookup"},
       {testing::Activity::kConfigurationChange, "configuration change"},
--- a/tests/core/fault_matrix_test.cc
+++ b/tests/core/fault_matrix_test.cc
@@ -51,7 +51,7 @@
   CheckFault(Fault::kPlatformSlow);
 }
 TEST_CASE("core matrix, answer is lost, keeps every promise") {
-  CheckFault(Fault::kAnswerLost);
+  CheckFault(Fault::kResponseLost);
 }
 TEST_CASE("core matrix, host is paused, keeps every promise") {
   CheckFault(Fault::kHostPaused);
--- a/tests/core/history_check.h
+++ b/tests/core/history_check.h
@@ -16,7 +16,8 @@
   std::string last_event_id;        ///< resume token of the last token
   bool done = false;                ///< the end marker came
   std::string error;                ///< body of an error event
-  std::vector<std::string> faults;  ///< tokens out of order, mixed generations
+  std::vector<std::string>
+      violations;  ///< tokens out of order, mixed generations
 };
 
 /// @brief Reads a streamed answer.
@@ -37,15 +38,16 @@
 ///        where nothing ran, an answer only where it ran.
 /// @param world its callers and executions
 /// @return what is wrong
-std::vector<std::string> CheckOrders(const World& world);
+std::vector<std::string> CheckOrders(const FleetSimulation& simulation);
 
 /// @brief Checks that every caller's exchange was over by its deadline and some
 /// slack.
 /// @param slack for hosts that were frozen
 /// @return what is wrong
-std::vector<std::string> CheckDeadlines(const World& world, Duration slack);
+std::vector<std::string> CheckDeadlines(const FleetSimulation& simulation,
+                                        Duration slack);
 
 /// @return the `outcome` of a problem body, or an empty text
-std::string OutcomeOf(const std::string& body);
+std::string ParseOutcome(const std::string& body);
 
 }  // namespace limpetlink::testing
--- a/tests/core/leaving_test.cc
+++ b/tests/core/leaving_test.cc
@@ -5,102 +5,105 @@
 namespace limpetlink::testing {
 namespace {
 
-constexpr Duration kNothingNewAfter = std::chrono::seconds(3);
-constexpr Duration kBetweenRequests = std::chrono::milliseconds(50);
-constexpr Duration kWait = std::chrono::seconds(10);
-constexpr int kRequestsAfter = 100;
+constexpr Duration kLeavingPropagation = std::chrono::seconds(3);
+constexpr Duration kRequestInterval = std::chrono::milliseconds(50);
+constexpr Duration kRequestTimeout = std::chrono::seconds(10);
+constexpr int kProbeRequests = 100;
 
 /// Requests go to both hosts all the time; engine 0 is the one that leaves.
 class LeavingFixture {
  protected:
-  LeavingFixture() : world(WorldOptions{}) {
-    REQUIRE(this->world.RunUntilReady());
-    for (std::size_t i = 0; i < this->world.engines.size(); ++i) {
-      this->world.platform.hosts.push_back(
+  LeavingFixture() : simulation(FleetSimulationOptions{}) {
+    REQUIRE(this->simulation.RunUntilReady());
+    for (std::size_t i = 0; i < this->simulation.engines.size(); ++i) {
+      this->simulation.platform.hosts.push_back(
           {"engine-" + std::to_string(i),
            "127.0.0.1:" + std::to_string(9000 + i), "upstream", "live"});
     }
-    this->SendFor(std::chrono::seconds(5));
-    REQUIRE(this->Leaving().Accepted() > 0);
+    this->SendRequestsFor(std::chrono::seconds(5));
+    REQUIRE(this->LeavingEngine().AcceptedCount() > 0);
   }
 
-  EngineFake& Leaving() { return *this->world.engines[0]; }
+  EngineFake& LeavingEngine() { return *this->simulation.engines[0]; }
 
-  void SetListed(const std::string& state) {
-    for (PlatformFake::Host& host : this->world.platform.hosts) {
+  void SetListedState(const std::string& state) {
+    for (PlatformFake::Host& host : this->simulation.platform.hosts) {
       if (host.id == "engine-0") {
         host.state = state;
       }
     }
   }
 
-  void SendFor(Duration time) {
-    const Instant end = this->world.timeline.Now() + time;
-    while (this->world.timeline.Now() < end) {
+  void SendRequestsFor(Duration time) {
+    const Instant end = this->simulation.timeline.Now() + time;
+    while (this->simulation.timeline.Now() < end) {
       CallerRequest request;
       request.method = "POST";
       request.path = "/v1/completions";
       request.body = R"({"model":"model","prompt":"p","stream":true})";
       this->next_host = 1 - this->next_host;
-      this->world.Send(this->next_host, std::move(request), kWait);
-      this->world.RunFor(kBetweenRequests);
+      this->simulation.Send(this->next_host, std::move(request),
+                            kRequestTimeout);
+      this->simulation.RunFor(kRequestInterval);
     }
   }
 
   /// Whether the leaving engine is given nothing while requests go on.
-  bool GetsNothingNew() {
-    const std::uint64_t before = this->Leaving().Accepted();
-    this->SendFor(kBetweenRequests * kRequestsAfter);
-    return this->Leaving().Accepted() == before;
+  bool ReceivesNoNewWork() {
+    const std::uint64_t before = this->LeavingEngine().AcceptedCount();
+    this->SendRequestsFor(kRequestInterval * kProbeRequests);
+    return this->LeavingEngine().AcceptedCount() == before;
   }
 
-  World world;
+  FleetSimulation simulation;
   std::size_t next_host = 0;
 };
 
 TEST_CASE_METHOD(
     LeavingFixture,
     "leaving engine, host list says so, gets nothing new after 3 s") {
-  this->SetListed("leaving");
-  this->SendFor(kNothingNewAfter);
-  CHECK(this->GetsNothingNew());
+  this->SetListedState("leaving");
+  this->SendRequestsFor(kLeavingPropagation);
+  CHECK(this->ReceivesNoNewWork());
 }
 
 TEST_CASE_METHOD(
     LeavingFixture,
     "leaving engine, its own report says so, gets nothing new after 3 s") {
-  this->Leaving().ReportDraining(true);
-  this->SendFor(kNothingNewAfter);
-  CHECK(this->GetsNothingNew());
+  this->LeavingEngine().ReportDraining(true);
+  this->SendRequestsFor(kLeavingPropagation);
+  CHECK(this->ReceivesNoNewWork());
 }
 
 TEST_CASE_METHOD(LeavingFixture,
                  "leaving engine, only one of two sources clears it, still "
                  "gets nothing new") {
-  this->SetListed("leaving");
-  this->Leaving().ReportDraining(true);
-  this->SendFor(kNothingNewAfter);
-  SECTION("the list lags and says live") { this->SetListed("live"); }
-  SECTION("the report is taken back") { this->Leaving().ReportDraining(false); }
-  this->SendFor(std::chrono::seconds(10));
-  CHECK(this->GetsNothingNew());
+  this->SetListedState("leaving");
+  this->LeavingEngine().ReportDraining(true);
+  this->SendRequestsFor(kLeavingPropagation);
+  SECTION("the list lags and says live") { this->SetListedState("live"); }
+  SECTION("the report is taken back") {
+    this->LeavingEngine().ReportDraining(false);
+  }
+  this->SendRequestsFor(std::chrono::seconds(10));
+  CHECK(this->ReceivesNoNewWork());
 }
 
 TEST_CASE_METHOD(LeavingFixture,
                  "leaving engine, both sources clear it, is used again") {
-  this->SetListed("leaving");
-  this->SendFor(kNothingNewAfter);
-  this->SetListed("live");
-  this->SendFor(std::chrono::seconds(20));
-  CHECK_FALSE(this->GetsNothingNew());
+  this->SetListedState("leaving");
+  this->SendRequestsFor(kLeavingPropagation);
+  this->SetListedState("live");
+  this->SendRequestsFor(std::chrono::seconds(20));
+  CHECK_FALSE(this->ReceivesNoNewWork());
 }
 
 TEST_CASE_METHOD(LeavingFixture,
                  "leaving engine, streams in progress, end whole") {
-  this->SetListed("leaving");
-  this->SendFor(kNothingNewAfter);
-  this->world.RunFor(kWait);
-  for (const CallerLog& log : this->world.callers) {
+  this->SetListedState("leaving");
+  this->SendRequestsFor(kLeavingPropagation);
+  this->simulation.RunFor(kRequestTimeout);
+  for (const CallerLog& log : this->simulation.callers) {
     CHECK(log.body.find("data: [DONE]") != std::string::npos);
   }
 }
--- a/tests/core/network.cc
+++ b/tests/core/network.cc
@@ -6,38 +6,38 @@
 namespace {
 
 constexpr std::size_t kSchemeSize = 7;  // "http://"
-constexpr std::uint64_t kLongestDelayMicros = 2000;
+constexpr std::uint64_t kMaxExtraDelayMicros = 2000;
 
 }  // namespace
 
-std::string ServerOf(const std::string& url) {
+std::string ServerName(const std::string& url) {
   return url.substr(kSchemeSize, url.find('/', kSchemeSize) - kSchemeSize);
 }
 
-std::string PathOf(const std::string& url) {
+std::string PathAndQuery(const std::string& url) {
   return url.substr(url.find('/', kSchemeSize));
 }
 
-void Timeline::After(Duration delay, std::function<void()> task) {
-  this->work.emplace(std::make_pair(this->now + delay, ++this->sequence),
-                     std::move(task));
+void Timeline::Schedule(Duration delay, std::function<void()> task) {
+  this->tasks.emplace(std::make_pair(this->now + delay, ++this->sequence),
+                      std::move(task));
 }
 
 bool Timeline::RunNext(Instant limit) {
-  if (this->work.empty() || this->work.begin()->first.first > limit) {
+  if (this->tasks.empty() || this->tasks.begin()->first.first > limit) {
     this->now = std::max(this->now, limit);
     return false;
   }
-  const auto first = this->work.begin();
+  const auto first = this->tasks.begin();
   this->now = std::max(this->now, first->first.first);
   const std::function<void()> task = std::move(first->second);
-  this->work.erase(first);
+  this->tasks.erase(first);
   task();
   return true;
 }
 
-Network::Network(Timeline& timeline, std::uint64_t seed, Deliver deliver)
-    : timeline(timeline), random(seed), deliver(std::move(deliver)) {}
+Network::Network(Timeline& timeline, std::uint64_t seed, EventSink event_sink)
+    : timeline(timeline), random(seed), event_sink(std::move(event_sink)) {}
 
 void Network::AddServer(const std::string& name, FakeServer server) {
   this->servers[name].fake = std::move(server);
@@ -47,19 +47,19 @@
   Server& server = this->servers.at(name);
   server.link = state;
   if (state == LinkState::kRefused) {
-    std::vector<ExchangeId> open;
+    std::vector<ExchangeId> affected;
     for (const auto& [id, exchange] : this->exchanges) {
       if (exchange.server == name) {
-        open.push_back(id);
+        affected.push_back(id);
       }
     }
-    server.held.clear();
-    for (const ExchangeId id : open) {
-      this->Cut(id);
+    server.deferred.clear();
+    for (const ExchangeId id : affected) {
+      this->Disconnect(id);
     }
   } else if (state == LinkState::kUp) {
-    for (std::function<void()>& task : std::exchange(server.held, {})) {
-      this->timeline.After(Duration(0), std::move(task));
+    for (std::function<void()>& task : std::exchange(server.deferred, {})) {
+      this->timeline.Schedule(Duration(0), std::move(task));
     }
   }
 }
@@ -68,13 +68,13 @@
   this->servers.at(name).delay = delay;
 }
 
-Duration Network::Delay() {
-  return Duration(
-      static_cast<std::int64_t>(100 + this->random.Below(kLongestDelayMicros)));
+Duration Network::RandomDelay() {
+  return Duration(static_cast<std::int64_t>(
+      100 + this->random.Below(kMaxExtraDelayMicros)));
 }
 
-void Network::Step(const std::string& what, const std::string& server) {
-  const TraceStep step{++this->steps, what, server};
+void Network::RecordStep(const std::string& kind, const std::string& server) {
+  const TraceStep step{++this->steps, kind, server};
   if (this->on_step) {
     this->on_step(step);
   }
@@ -82,47 +82,49 @@
 
 // ---- The calling side ----
 
-void Network::Call(std::size_t host, const HttpCall& call) {
+void Network::StartCall(std::size_t host, const HttpCall& call) {
   const ExchangeId id{++this->last_exchange};
   Exchange exchange;
   exchange.host = host;
   exchange.call = call;
-  exchange.server = ServerOf(call.url);
-  exchange.last_due = this->timeline.Now();
+  exchange.server = ServerName(call.url);
+  exchange.last_delivery = this->timeline.Now();
   this->exchanges.emplace(id, std::move(exchange));
-  this->timeline.After(this->Delay(), [this, id] { this->Arrive(id); });
+  this->timeline.Schedule(this->RandomDelay(),
+                          [this, id] { this->DeliverRequest(id); });
   if (call.total_timeout > Duration(0)) {
-    this->timeline.After(call.total_timeout, [this, id] { this->Timeout(id); });
+    this->timeline.Schedule(call.total_timeout,
+                            [this, id] { this->HandleTimeout(id); });
   }
 }
 
-void Network::Arrive(ExchangeId id) {
+void Network::DeliverRequest(ExchangeId id) {
   auto found = this->exchanges.find(id);
   if (found == this->exchanges.end()) {
     return;
   }
-  this->Step("request", found->second.server);
+  this->RecordStep("request", found->second.server);
   found = this->exchanges.find(id);
   if (found == this->exchanges.end()) {
     return;
   }
   Server& server = this->servers.at(found->second.server);
   if (server.link == LinkState::kRefused) {
-    this->EndBy(id, HttpEnd::kNotConnected);
+    this->EndExchange(id, HttpEnd::kNotConnected);
   } else if (server.link == LinkState::kStalled) {
-    server.held.emplace_back([this, id] { this->Arrive(id); });
+    server.deferred.emplace_back([this, id] { this->DeliverRequest(id); });
   } else {
     server.fake.on_request(id, HttpCall(found->second.call));
   }
 }
 
-void Network::Timeout(ExchangeId id) {
+void Network::HandleTimeout(ExchangeId id) {
   if (this->exchanges.count(id) != 0) {
-    this->EndBy(id, HttpEnd::kTimeout);
+    this->EndExchange(id, HttpEnd::kTimeout);
   }
 }
 
-void Network::EndBy(ExchangeId id, HttpEnd end) {
+void Network::EndExchange(ExchangeId id, HttpEnd end) {
   const auto found = this->exchanges.find(id);
   const Exchange exchange = found->second;
   this->exchanges.erase(found);
@@ -130,7 +132,7 @@
   if (server->second.fake.on_closed) {
     server->second.fake.on_closed(id);
   }
-  this->deliver(exchange.host, HttpDone{exchange.call.id, end});
+  this->event_sink(exchange.host, HttpDone{exchange.call.id, end});
 }
 
 void Network::Cancel(std::size_t host, CallId call) {
@@ -139,7 +141,7 @@
       const ExchangeId closed = id;
       const std::string server = exchange.server;
       this->exchanges.erase(closed);
-      this->timeline.After(this->Delay(), [this, closed, server] {
+      this->timeline.Schedule(this->RandomDelay(), [this, closed, server] {
         const FakeServer& fake = this->servers.at(server).fake;
         if (fake.on_closed) {
           fake.on_closed(closed);
@@ -150,7 +152,7 @@
   }
 }
 
-void Network::DropHost(std::size_t host) {
+void Network::CloseHostExchanges(std::size_t host) {
   std::vector<std::pair<ExchangeId, std::string>> dropped;
   for (const auto& [id, exchange] : this->exchanges) {
     if (exchange.host == host) {
@@ -168,81 +170,82 @@
 
 // ---- The answering side ----
 
-void Network::Head(ExchangeId id, int status, Headers headers) {
+void Network::SendHead(ExchangeId id, int status, Headers headers) {
   const auto found = this->exchanges.find(id);
   if (found != this->exchanges.end()) {
-    this->Send(id, "head",
-               HttpHead{found->second.call.id, status, std::move(headers)},
-               false);
+    this->QueueEvent(
+        id, "head", HttpHead{found->second.call.id, status, std::move(headers)},
+        false);
   }
 }
 
-void Network::Chunk(ExchangeId id, std::string bytes) {
+void Network::SendChunk(ExchangeId id, std::string bytes) {
   const auto found = this->exchanges.find(id);
   if (found != this->exchanges.end()) {
-    this->Send(id, "chunk", HttpChunk{found->second.call.id, std::move(bytes)},
-               false);
+    this->QueueEvent(id, "chunk",
+                     HttpChunk{found->second.call.id, std::move(bytes)}, false);
   }
 }
 
-void Network::Done(ExchangeId id) {
+void Network::SendEnd(ExchangeId id) {
   const auto found = this->exchanges.find(id);
   if (found != this->exchanges.end()) {
-    this->Send(id, "done", HttpDone{found->second.call.id, HttpEnd::kComplete},
-               true);
+    this->QueueEvent(id, "done",
+                     HttpDone{found->second.call.id, HttpEnd::kComplete}, true);
   }
 }
 
-void Network::Cut(ExchangeId id) {
+void Network::Disconnect(ExchangeId id) {
   if (this->exchanges.count(id) != 0) {
-    this->EndBy(id, HttpEnd::kCut);
+    this->EndExchange(id, HttpEnd::kCut);
   }
 }
 
-void Network::Answer(ExchangeId id, int status, Headers headers,
-                     std::string body) {
-  this->Head(id, status, std::move(headers));
+void Network::Respond(ExchangeId id, int status, Headers headers,
+                      std::string body) {
+  this->SendHead(id, status, std::move(headers));
   if (!body.empty()) {
-    this->Chunk(id, std::move(body));
+    this->SendChunk(id, std::move(body));
   }
-  this->Done(id);
+  this->SendEnd(id);
 }
 
-void Network::Send(ExchangeId id, const std::string& what, Event event,
-                   bool last) {
+void Network::QueueEvent(ExchangeId id, const std::string& kind, Event event,
+                         bool is_final) {
   Exchange& exchange = this->exchanges.at(id);
   const Duration delay =
-      this->Delay() + this->servers.at(exchange.server).delay;
-  exchange.last_due = std::max(exchange.last_due, this->timeline.Now() + delay);
-  this->timeline.After(exchange.last_due - this->timeline.Now(),
-                       [this, id, what, event = std::move(event), last] {
-                         this->Transmit(id, what, event, last);
-                       });
+      this->RandomDelay() + this->servers.at(exchange.server).delay;
+  exchange.last_delivery =
+      std::max(exchange.last_delivery, this->timeline.Now() + delay);
+  this->timeline.Schedule(exchange.last_delivery - this->timeline.Now(),
+                          [this, id, kind, event = std::move(event), is_final] {
+                            this->DeliverEvent(id, kind, event, is_final);
+                          });
 }
 
-void Network::Transmit(ExchangeId id, std::string what, Event event,
-                       bool last) {
+void Network::DeliverEvent(ExchangeId id, std::string kind, Event event,
+                           bool is_final) {
   auto found = this->exchanges.find(id);
   if (found == this->exchanges.end()) {
     return;
   }
-  this->Step(what, found->second.server);
+  this->RecordStep(kind, found->second.server);
   found = this->exchanges.find(id);
   if (found == this->exchanges.end()) {
     return;
   }
   Server& server = this->servers.at(found->second.server);
   if (server.link == LinkState::kStalled) {
-    server.held.emplace_back([this, id, what, event, last] {
-      this->Transmit(id, what, event, last);
+    server.deferred.emplace_back([this, id, kind, event, is_final] {
+      this->DeliverEvent(id, kind, event, is_final);
     });
     return;
   }
   const std::size_t host = found->second.host;
-  if (last) {
+  if (is_final) {
     this->exchanges.erase(found);
   }
-  this->deliver(host, event);
+  this->event_sink(host, event);
 }
 
 }  // namespace limpetlink::testing
--- a/tests/core/network.h
+++ b/tests/core/network.h
@@ -26,7 +26,7 @@
   Instant Now() const { return this->now; }
 
   /// @brief Runs something later.
-  void After(Duration delay, std::function<void()> task);
+  void Schedule(Duration delay, std::function<void()> task);
 
   /// @brief Runs the next thing that is due.
   /// @param limit nothing later than this is run
@@ -36,7 +36,7 @@
  private:
   Instant now{std::chrono::seconds(1)};
   std::uint64_t sequence = 0;
-  std::map<std::pair<Instant, std::uint64_t>, std::function<void()>> work;
+  std::map<std::pair<Instant, std::uint64_t>, std::function<void()>> tasks;
 };
 
 /// @brief A side of an exchange that the network tells about it.
@@ -56,7 +56,7 @@
 /// these.
 struct TraceStep {
   std::uint64_t number = 0;
-  std::string what;  ///< "request", "head", "chunk", "done" or "caller"
+  std::string kind;  ///< "request", "head", "chunk", "done" or "caller"
   std::string server;
 };
 
@@ -64,12 +64,12 @@
 class Network {
  public:
   /// @brief Tells a host's core of an event.
-  using Deliver = std::function<void(std::size_t host, const Event&)>;
+  using EventSink = std::function<void(std::size_t host, const Event&)>;
 
   /// @param timeline virtual time
   /// @param seed of the delays
   /// @param deliver hands an event to a host
-  Network(Timeline& timeline, std::uint64_t seed, Deliver deliver);
+  Network(Timeline& timeline, std::uint64_t seed, EventSink event_sink);
 
   /// @brief Names a server; URLs are "http://NAME/...".
   void AddServer(const std::string& name, FakeServer server);
@@ -82,22 +82,22 @@
   void SetDelay(const std::string& name, Duration delay);
 
   // ---- The calling side ----
-  void Call(std::size_t host, const HttpCall& call);
+  void StartCall(std::size_t host, const HttpCall& call);
   void Cancel(std::size_t host, CallId call);
   /// @brief A host died: its exchanges go away on the servers' side.
-  void DropHost(std::size_t host);
+  void CloseHostExchanges(std::size_t host);
 
   // ---- The answering side ----
-  void Head(ExchangeId id, int status, Headers headers);
-  void Chunk(ExchangeId id, std::string bytes);
-  void Done(ExchangeId id);
+  void SendHead(ExchangeId id, int status, Headers headers);
+  void SendChunk(ExchangeId id, std::string bytes);
+  void SendEnd(ExchangeId id);
   /// @brief Breaks the connection.
-  void Cut(ExchangeId id);
+  void Disconnect(ExchangeId id);
   /// @brief Answers at once with a whole body.
-  void Answer(ExchangeId id, int status, Headers headers, std::string body);
+  void Respond(ExchangeId id, int status, Headers headers, std::string body);
 
   /// @brief Numbers a moment and tells the hook, before it has an effect.
-  void Step(const std::string& what, const std::string& server);
+  void RecordStep(const std::string& kind, const std::string& server);
 
   /// @brief Told of every numbered moment.
   std::function<void(const TraceStep&)> on_step;
@@ -108,25 +108,27 @@
     HttpCall call;
     std::string server;
     bool paused = false;
-    Instant last_due;  ///< keeps the order of what is on the way
+    Instant last_delivery;  ///< keeps the order of what is on the way
   };
   struct Server {
     FakeServer fake;
     LinkState link = LinkState::kUp;
     Duration delay{0};
-    std::vector<std::function<void()>> held;  ///< while the link is stalled
+    std::vector<std::function<void()>> deferred;  ///< while the link is stalled
   };
 
-  void Arrive(ExchangeId id);
-  void Send(ExchangeId id, const std::string& what, Event event, bool last);
-  void Transmit(ExchangeId id, std::string what, Event event, bool last);
-  void EndBy(ExchangeId id, HttpEnd end);
-  void Timeout(ExchangeId id);
-  Duration Delay();
+  void DeliverRequest(ExchangeId id);
+  void QueueEvent(ExchangeId id, const std::string& kind, Event event,
+                  bool is_final);
+  void DeliverEvent(ExchangeId id, std::string kind, Event event,
+                    bool is_final);
+  void EndExchange(ExchangeId id, HttpEnd end);
+  void HandleTimeout(ExchangeId id);
+  Duration RandomDelay();
 
   Timeline& timeline;
   Random random;
-  Deliver deliver;
+  EventSink event_sink;
   std::uint64_t last_exchange = 0;
   std::uint64_t steps = 0;
   std::map<std::string, Server> servers;
@@ -134,9 +136,9 @@
 };
 
 /// @return the part of a URL between "http://" and the next '/'
-std::string ServerOf(const std::string& url);
+std::string ServerName(const std::string& url);
 
 /// @return the part of a URL from its path on
-std::string PathOf(const std::string& url);
+std::string PathAndQuery(const std::string& url);
 
 }  // namespace limpetlink::testing
--- a/tests/core/path_test.cc
+++ b/tests/core/path_test.cc
@@ -5,7 +5,7 @@
 namespace limpetlink::testing {
 namespace {
 
-constexpr int kLookupsToLearn = 60;
+constexpr int kLookupsForHedging = 60;
 
 CallerRequest Completion(bool stream) {
   CallerRequest request;
@@ -27,24 +27,25 @@
 
 class PathFixture {
  protected:
-  PathFixture() : world(WorldOptions{}) {
-    REQUIRE(this->world.RunUntilReady());
+  PathFixture() : simulation(FleetSimulationOptions{}) {
+    REQUIRE(this->simulation.RunUntilReady());
   }
 
-  const CallerLog& Serve(CallerRequest request) {
+  const CallerLog& Execute(CallerRequest request) {
     const std::size_t caller =
-        this->world.Send(0, std::move(request), std::chrono::seconds(20));
-    this->world.RunUntil([&] { return this->world.Over(caller); },
-                         std::chrono::seconds(30));
-    return this->world.callers[caller];
+        this->simulation.Send(0, std::move(request), std::chrono::seconds(20));
+    this->simulation.RunUntil(
+        [&] { return this->simulation.IsFinished(caller); },
+        std::chrono::seconds(30));
+    return this->simulation.callers[caller];
   }
 
-  World world;
+  FleetSimulation simulation;
 };
 
 TEST_CASE_METHOD(PathFixture,
                  "stream, nothing fails, gives every token and the end") {
-  const CallerLog& log = this->Serve(Completion(true));
+  const CallerLog& log = this->Execute(Completion(true));
   CHECK(log.status == 200);
   CHECK(log.ended);
   CHECK(log.body.find("#0;") != std::string::npos);
@@ -54,27 +55,27 @@
 
 TEST_CASE_METHOD(PathFixture,
                  "whole answer, nothing fails, is one JSON object") {
-  const CallerLog& log = this->Serve(Completion(false));
+  const CallerLog& log = this->Execute(Completion(false));
   CHECK(log.status == 200);
   CHECK(log.body.find("\"completion_tokens\":12") != std::string::npos);
 }
 
 TEST_CASE_METHOD(PathFixture,
                  "order, sent twice with its key, runs once and is replayed") {
-  const CallerLog first = this->Serve(Order("k", "body"));
+  const CallerLog first = this->Execute(Order("k", "body"));
   CHECK(first.status == 200);
   CHECK(first.body == "ran body");
-  const CallerLog second = this->Serve(Order("k", "body"));
+  const CallerLog second = this->Execute(Order("k", "body"));
   CHECK(second.body == "ran body");
   CHECK(FindHeader(second.headers, "Idempotency-Replayed") != nullptr);
-  CHECK(this->world.executions.size() == 1);
+  CHECK(this->simulation.executions.size() == 1);
 }
 
 TEST_CASE_METHOD(PathFixture, "order, same key with another body, is refused") {
-  this->Serve(Order("k", "one"));
-  const CallerLog& log = this->Serve(Order("k", "two"));
+  this->Execute(Order("k", "one"));
+  const CallerLog& log = this->Execute(Order("k", "two"));
   CHECK(log.status == 422);
-  CHECK(this->world.executions.size() == 1);
+  CHECK(this->simulation.executions.size() == 1);
 }
 
 TEST_CASE_METHOD(PathFixture,
@@ -82,7 +83,7 @@
   CallerRequest request;
   request.method = "GET";
   request.path = "/v1/services/orders/lookups/7";
-  const CallerLog& log = this->Serve(std::move(request));
+  const CallerLog& log = this->Execute(std::move(request));
   CHECK(log.status == 200);
 }
 
@@ -91,30 +92,30 @@
   CallerRequest request;
   request.method = "GET";
   request.path = "/v1/services/orders/lookups/../orders";
-  const CallerLog& log = this->Serve(std::move(request));
+  const CallerLog& log = this->Execute(std::move(request));
   CHECK(log.status == 400);
-  CHECK(this->world.executions.empty());
+  CHECK(this->simulation.executions.empty());
 }
 
 TEST_CASE_METHOD(PathFixture,
                  "requests page, one request waits, lists it to the operator") {
-  this->world.engines[0]->Drain();
-  this->world.Send(0, Completion(true), std::chrono::seconds(20));
-  const std::string page = this->world.Page(0, "/v1/requests");
+  this->simulation.engines[0]->Drain();
+  this->simulation.Send(0, Completion(true), std::chrono::seconds(20));
+  const std::string page = this->simulation.FetchPage(0, "/v1/requests");
   CHECK(page.find("\"organisation\":\"organisation\"") != std::string::npos);
 }
 
 TEST_CASE_METHOD(
     PathFixture,
     "paused host, wakes to a new request, refuses it until it has refreshed") {
-  this->world.FreezeHost(0);
+  this->simulation.FreezeHost(0);
   const std::size_t caller =
-      this->world.Send(0, Completion(true), std::chrono::seconds(60));
-  this->world.RunFor(std::chrono::seconds(8));
-  this->world.ThawHost(0);
-  this->world.RunFor(std::chrono::milliseconds(1));
-  CHECK(this->world.callers[caller].status == 503);
-  CHECK(this->world.RunUntilReady());
+      this->simulation.Send(0, Completion(true), std::chrono::seconds(60));
+  this->simulation.RunFor(std::chrono::seconds(8));
+  this->simulation.ThawHost(0);
+  this->simulation.RunFor(std::chrono::milliseconds(1));
+  CHECK(this->simulation.callers[caller].status == 503);
+  CHECK(this->simulation.RunUntilReady());
 }
 
 TEST_CASE_METHOD(PathFixture,
@@ -122,13 +123,13 @@
   CallerRequest lookup;
   lookup.method = "GET";
   lookup.path = "/v1/services/orders/lookups/7";
-  for (int i = 0; i < kLookupsToLearn; ++i) {
-    REQUIRE(this->Serve(lookup).status == 200);
+  for (int i = 0; i < kLookupsForHedging; ++i) {
+    REQUIRE(this->Execute(lookup).status == 200);
   }
-  this->world.network.SetLink("127.0.0.1:9500", LinkState::kStalled);
+  this->simulation.network.SetLink("127.0.0.1:9500", LinkState::kStalled);
   for (int i = 0; i < 4; ++i) {
-    const Instant sent = this->world.timeline.Now();
-    const CallerLog& log = this->Serve(lookup);
+    const Instant sent = this->simulation.timeline.Now();
+    const CallerLog& log = this->Execute(lookup);
     CHECK(log.status == 200);
     CHECK(log.ended_at - sent < std::chrono::seconds(2));
   }
@@ -136,17 +137,17 @@
 
 TEST_CASE_METHOD(PathFixture,
                  "order, its upstream hangs, is sent to no other") {
-  this->world.network.SetLink("127.0.0.1:9500", LinkState::kStalled);
-  this->world.network.SetLink("127.0.0.1:9501", LinkState::kStalled);
+  this->simulation.network.SetLink("127.0.0.1:9500", LinkState::kStalled);
+  this->simulation.network.SetLink("127.0.0.1:9501", LinkState::kStalled);
   const std::size_t caller =
-      this->world.Send(0, Order("k", "body"), std::chrono::seconds(5));
-  this->world.RunUntil([&] { return this->world.Over(caller); },
-                       std::chrono::seconds(10));
-  CHECK(this->world.callers[caller].status == 504);
-  this->world.network.SetLink("127.0.0.1:9500", LinkState::kUp);
-  this->world.network.SetLink("127.0.0.1:9501", LinkState::kUp);
-  this->world.RunFor(std::chrono::seconds(10));
-  CHECK(this->world.executions.size() <= 1);
+      this->simulation.Send(0, Order("k", "body"), std::chrono::seconds(5));
+  this->simulation.RunUntil([&] { return this->simulation.IsFinished(caller); },
+                            std::chrono::seconds(10));
+  CHECK(this->simulation.callers[caller].status == 504);
+  this->simulation.network.SetLink("127.0.0.1:9500", LinkState::kUp);
+  this->simulation.network.SetLink("127.0.0.1:9501", LinkState::kUp);
+  this->simulation.RunFor(std::chrono::seconds(10));
+  CHECK(this->simulation.executions.size() <= 1);
 }
 
 }  // namespace
--- a/tests/core/platform_fake.cc
+++ b/tests/core/platform_fake.cc
@@ -9,9 +9,9 @@
 
 using nlohmann::json;
 
-constexpr std::string_view kObjects = "/v1/objects/";
+constexpr std::string_view kObjectsPath = "/v1/objects/";
 
-std::string Decode(std::string_view text) {
+std::string PercentDecode(std::string_view text) {
   std::string decoded;
   for (std::size_t i = 0; i < text.size(); ++i) {
     if (text[i] == '%' && i + 2 < text.size()) {
@@ -25,20 +25,21 @@
   return decoded;
 }
 
-std::string Parameter(const std::string& query, const std::string& name) {
-  const std::string wanted = name + "=";
+std::string QueryParameter(const std::string& query, const std::string& name) {
+  const std::string prefix = name + "=";
   std::size_t at = 0;
   while (at < query.size()) {
     const std::size_t end = std::min(query.find('&', at), query.size());
-    if (query.compare(at, wanted.size(), wanted) == 0) {
-      return Decode(query.substr(at + wanted.size(), end - at - wanted.size()));
+    if (query.compare(at, prefix.size(), prefix) == 0) {
+      return PercentDecode(
+          query.substr(at + prefix.size(), end - at - prefix.size()));
     }
     at = end + 1;
   }
   return {};
 }
 
-std::string Quoted(std::uint64_t version) {
+std::string FormatETag(std::uint64_t version) {
   return "\"" + std::to_string(version) + "\"";
 }
 
@@ -64,7 +65,7 @@
   ++object.version;
   object.bytes = std::move(bytes);
   const std::uint64_t version = object.version;
-  this->NotifyWatches(key);
+  this->CompleteWatches(key);
   return version;
 }
 
@@ -75,20 +76,20 @@
 
 void PlatformFake::OnRequest(ExchangeId id, const HttpCall& call) {
   if (this->outage) {
-    this->network.Answer(id, 503, {}, "");
+    this->network.Respond(id, 503, {}, "");
     return;
   }
-  const std::string target = PathOf(call.url);
-  const std::size_t mark = target.find('?');
-  const std::string path = target.substr(0, mark);
+  const std::string target = PathAndQuery(call.url);
+  const std::size_t query_start = target.find('?');
+  const std::string path = target.substr(0, query_start);
   const std::string query =
-      mark == std::string::npos ? "" : target.substr(mark + 1);
+      query_start == std::string::npos ? "" : target.substr(query_start + 1);
   if (path == "/v1/hosts") {
     this->ListHosts(id);
     return;
   }
   const std::string key =
-      Decode(path.substr(std::min(path.size(), kObjects.size())));
+      PercentDecode(path.substr(std::min(path.size(), kObjectsPath.size())));
   if (call.method == "PUT") {
     this->Put(id, key, call);
   } else if (call.method == "DELETE") {
@@ -100,58 +101,58 @@
   }
 }
 
-void PlatformFake::ReplyObject(ExchangeId id, const Object& object) {
-  this->network.Answer(id, 200, {{"ETag", Quoted(object.version)}},
-                       object.bytes);
+void PlatformFake::RespondWithObject(ExchangeId id, const Object& object) {
+  this->network.Respond(id, 200, {{"ETag", FormatETag(object.version)}},
+                        object.bytes);
 }
 
 void PlatformFake::Get(ExchangeId id, const std::string& key,
                        const std::string& query) {
-  const std::string watch = Parameter(query, "watch");
+  const std::string watch = QueryParameter(query, "watch");
   const auto found = this->objects.find(key);
   if (watch.empty()) {
     if (found == this->objects.end()) {
-      this->network.Answer(id, 404, {}, "");
+      this->network.Respond(id, 404, {}, "");
     } else {
-      this->ReplyObject(id, found->second);
+      this->RespondWithObject(id, found->second);
     }
     return;
   }
   const std::uint64_t known = std::stoull(watch);
   if (found != this->objects.end() && found->second.version > known) {
-    this->ReplyObject(id, found->second);
+    this->RespondWithObject(id, found->second);
     return;
   }
   this->watches.push_back({id, key, known});
   const Duration wait =
-      std::chrono::milliseconds(std::stoll(Parameter(query, "wait_ms")));
-  this->timeline.After(wait, [this, id] {
+      std::chrono::milliseconds(std::stoll(QueryParameter(query, "wait_ms")));
+  this->timeline.Schedule(wait, [this, id] {
     const auto waiting =
         std::find_if(this->watches.begin(), this->watches.end(),
                      [id](const Watch& w) { return w.exchange == id; });
     if (waiting != this->watches.end()) {
       this->watches.erase(waiting);
-      this->network.Answer(id, 204, {}, "");
+      this->network.Respond(id, 204, {}, "");
     }
   });
 }
 
-void PlatformFake::NotifyWatches(const std::string& key) {
-  std::vector<ExchangeId> due;
+void PlatformFake::CompleteWatches(const std::string& key) {
+  std::vector<ExchangeId> ready;
   for (const Watch& watch : this->watches) {
     if (watch.key == key && watch.version < this->objects.at(key).version) {
-      due.push_back(watch.exchange);
+      ready.push_back(watch.exchange);
     }
   }
   this->watches.erase(std::remove_if(this->watches.begin(), this->watches.end(),
                                      [&](const Watch& w) {
-                                       return std::find(due.begin(), due.end(),
-                                                        w.exchange) !=
-                                              due.end();
+                                       return std::find(
+                                                  ready.begin(), ready.end(),
+                                                  w.exchange) != ready.end();
                                      }),
                       this->watches.end());
-  for (const ExchangeId id : due) {
-    this->ReplyObject(id, this->objects.at(key));
+  for (const ExchangeId id : ready) {
+    this->RespondWithObject(id, this->objects.at(key));
   }
 }
 
@@ -161,31 +162,32 @@
   const std::uint64_t current = this->VersionOf(key);
   const std::string* match = FindHeader(call.headers, "If-Match");
   const std::string* none = FindHeader(call.headers, "If-None-Match");
-  const bool refused = (none != nullptr && current != 0) ||
-                       (match != nullptr && *match != Quoted(current));
-  if (refused) {
-    this->network.Answer(id, 412, {{"ETag", Quoted(current)}}, "");
+  const bool precondition_failed =
+      (none != nullptr && current != 0) ||
+      (match != nullptr && *match != FormatETag(current));
+  if (precondition_failed) {
+    this->network.Respond(id, 412, {{"ETag", FormatETag(current)}}, "");
     return;
   }
   const std::uint64_t version = this->Write(key, call.body);
-  if (std::exchange(this->lose_next, false)) {
-    this->network.Cut(id);
+  if (std::exchange(this->drop_next_write_response, false)) {
+    this->network.Disconnect(id);
     return;
   }
-  this->network.Answer(id, current == 0 ? 201 : 200,
-                       {{"ETag", Quoted(version)}}, "");
+  this->network.Respond(id, current == 0 ? 201 : 200,
+                        {{"ETag", FormatETag(version)}}, "");
 }
 
 void PlatformFake::Delete(ExchangeId id, const std::string& key) {
   const bool existed = this->objects.erase(key) != 0;
-  this->network.Answer(id, existed ? 204 : 404, {}, "");
+  this->network.Respond(id, existed ? 204 : 404, {}, "");
 }
 
 void PlatformFake::List(ExchangeId id, const std::string& kind,
                         const std::string& query) {
-  const std::string prefix = kind + "/" + Parameter(query, "prefix");
-  const std::string after = kind + "/" + Parameter(query, "after");
-  const std::string limit = Parameter(query, "limit");
+  const std::string prefix = kind + "/" + QueryParameter(query, "prefix");
+  const std::string after = kind + "/" + QueryParameter(query, "after");
+  const std::string limit = QueryParameter(query, "limit");
   const std::size_t rows = limit.empty() ? 1000 : std::stoull(limit);
   json listed = json::array();
   for (auto it = this->objects.lower_bound(prefix); it != this->objects.end();
@@ -199,7 +201,7 @@
                         {"version", it->second.version}});
     }
   }
-  this->network.Answer(id, 200, {}, json{{"objects", listed}}.dump());
+  this->network.Respond(id, 200, {}, json{{"objects", listed}}.dump());
 }
 
 void PlatformFake::ListHosts(ExchangeId id) {
@@ -210,7 +212,7 @@
                       {"role", host.role},
                       {"state", host.state}});
   }
-  this->network.Answer(id, 200, {}, json{{"hosts", listed}}.dump());
+  this->network.Respond(id, 200, {}, json{{"hosts", listed}}.dump());
 }
 
 }  // namespace limpetlink::testing
--- a/tests/core/platform_fake.h
+++ b/tests/core/platform_fake.h
@@ -34,7 +34,7 @@
   std::uint64_t VersionOf(const std::string& key) const;
 
   /// @brief The next write takes effect and its answer is lost.
-  void LoseNextWriteAnswer() { this->lose_next = true; }
+  void DropNextWriteResponse() { this->drop_next_write_response = true; }
 
   /// @brief Answers 503 to everything.
   void SetOutage(bool on) { this->outage = on; }
@@ -59,13 +59,13 @@
   void Delete(ExchangeId id, const std::string& key);
   void List(ExchangeId id, const std::string& kind, const std::string& query);
   void ListHosts(ExchangeId id);
-  void NotifyWatches(const std::string& key);
-  void ReplyObject(ExchangeId id, const Object& object);
+  void CompleteWatches(const std::string& key);
+  void RespondWithObject(ExchangeId id, const Object& object);
 
   Network& network;
   Timeline& timeline;
   bool outage = false;
-  bool lose_next = false;
+  bool drop_next_write_response = false;
   std::map<std::string, Object> objects;  ///< by "kind/name"
   std::vector<Watch> watches;
 };
--- a/tests/core/service_fake.cc
+++ b/tests/core/service_fake.cc
@@ -6,8 +6,8 @@
 namespace limpetlink::testing {
 namespace {
 
-constexpr Duration kRunTime = std::chrono::milliseconds(20);
-constexpr Duration kAnswerTime = std::chrono::milliseconds(5);
+constexpr Duration kExecutionTime = std::chrono::milliseconds(20);
+constexpr Duration kResponseDelay = std::chrono::milliseconds(5);
 
 }  // namespace
 
@@ -24,39 +24,41 @@
 }
 
 void ServiceFake::Kill() {
-  ++this->life;
+  ++this->incarnation;
   this->network.SetLink(this->name, LinkState::kRefused);
 }
 
 void ServiceFake::OnRequest(ExchangeId id, const HttpCall& call) {
-  const std::string path = PathOf(call.url);
+  const std::string path = PathAndQuery(call.url);
   if (path == "/v1/load") {
     const nlohmann::json report = {{"running", this->running},
                                    {"waiting", 0},
                                    {"draining", this->draining}};
-    this->network.Answer(id, 200, {}, report.dump());
+    this->network.Respond(id, 200, {}, report.dump());
     return;
   }
   if (this->draining) {
-    this->network.Answer(id, 503, {}, R"({"outcome":"not_run"})");
+    this->network.Respond(id, 503, {}, R"({"outcome":"not_run"})");
     return;
   }
   ++this->running;
-  this->timeline.After(kRunTime, [this, id, call, path, started = this->life] {
-    if (started != this->life) {
-      return;
-    }
-    this->executions.push_back(
-        {this->name, call.method, path, call.body, this->timeline.Now()});
-    this->network.Step("executed", this->name);
-    this->timeline.After(kAnswerTime, [this, id, body = call.body, started] {
-      if (started == this->life) {
-        --this->running;
-        this->network.Answer(id, 200, {{"Content-Type", "text/plain"}},
-                             "ran " + body);
-      }
-    });
-  });
+  this->timeline.Schedule(
+      kExecutionTime, [this, id, call, path, incarnation = this->incarnation] {
+        if (incarnation != this->incarnation) {
+          return;
+        }
+        this->executions.push_back(
+            {this->name, call.method, path, call.body, this->timeline.Now()});
+        this->network.RecordStep("executed", this->name);
+        this->timeline.Schedule(
+            kResponseDelay, [this, id, body = call.body, incarnation] {
+              if (incarnation == this->incarnation) {
+                --this->running;
+                this->network.Respond(id, 200, {{"Content-Type", "text/plain"}},
+                                      "ran " + body);
+              }
+            });
+      });
 }
 
 }  // namespace limpetlink::testing
--- a/tests/core/service_fake.h
+++ b/tests/core/service_fake.h
@@ -41,7 +41,7 @@
   Timeline& timeline;
   std::string name;
   std::vector<Execution>& executions;
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   bool draining = false;
   std::uint64_t running = 0;
 };
--- a/tests/core/world.cc
+++ b/tests/core/world.cc
@@ -9,8 +9,8 @@
 
 using nlohmann::json;
 
-constexpr Duration kShortestTick = std::chrono::milliseconds(1);
-constexpr Duration kReadyLimit = std::chrono::seconds(60);
+constexpr Duration kMinTickDelay = std::chrono::milliseconds(1);
+constexpr Duration kReadyTimeout = std::chrono::seconds(60);
 constexpr std::uint64_t kPageRequest = std::uint64_t{1} << 40U;
 
 std::string Name(const char* kind, std::size_t index) {
@@ -27,13 +27,13 @@
 
 }  // namespace
 
-World::World(WorldOptions world_options)
-    : network(timeline, world_options.seed,
+FleetSimulation::FleetSimulation(FleetSimulationOptions simulation_options)
+    : network(timeline, simulation_options.seed,
               [this](std::size_t host, const Event& event) {
                 this->Deliver(host, event);
               }),
       platform(network, timeline),
-      options(std::move(world_options)),
+      options(std::move(simulation_options)),
       random(options.seed) {
   for (std::size_t i = 0; i < this->options.engines; ++i) {
     this->engines.push_back(std::make_unique<EngineFake>(
@@ -55,9 +55,9 @@
   }
 }
 
-World::~World() = default;
+FleetSimulation::~FleetSimulation() = default;
 
-std::string World::DocumentText(std::uint64_t change) const {
+std::string FleetSimulation::DocumentText(std::uint64_t change) const {
   json upstreams = json::array();
   for (std::size_t i = 0; i < this->options.engines; ++i) {
     upstreams.push_back({{"id", Name("engine", i)},
@@ -96,14 +96,15 @@
   return document.dump();
 }
 
-std::uint64_t World::ApplyDocument() {
+std::uint64_t FleetSimulation::ApplyDocument() {
   return this->platform.Write("fleet/fleet",
                               this->DocumentText(++this->changes));
 }
 
 // ---- Time ----
 
-bool World::RunUntil(const std::function<bool()>& holds, Duration limit) {
+bool FleetSimulation::RunUntil(const std::function<bool()>& holds,
+                               Duration limit) {
   const Instant end = this->timeline.Now() + limit;
   while (!holds()) {
     if (!this->timeline.RunNext(end)) {
@@ -113,16 +114,17 @@
   return true;
 }
 
-void World::RunFor(Duration time) {
+void FleetSimulation::RunFor(Duration time) {
   const Instant end = this->timeline.Now() + time;
   while (this->timeline.RunNext(end)) {
   }
 }
 
-bool World::RunUntilReady() {
-  const Instant end = this->timeline.Now() + kReadyLimit;
+bool FleetSimulation::RunUntilReady() {
+  const Instant end = this->timeline.Now() + kReadyTimeout;
   for (std::size_t i = 0; i < this->hosts.size(); ++i) {
-    while (this->HostLives(i) && this->Page(i, "/readyz") != "ready\n") {
+    while (this->IsHostRunning(i) &&
+           this->FetchPage(i, "/readyz") != "ready\n") {
       if (this->timeline.Now() >= end) {
         return false;
       }
@@ -134,7 +136,7 @@
 
 // ---- Hosts ----
 
-void World::StartHost(std::size_t host) {
+void FleetSimulation::StartHost(std::size_t host) {
   Host& started = this->hosts[host];
   EntryHostSettings settings;
   settings.self = {started.id};
@@ -149,18 +151,19 @@
   started.frozen = false;
   started.version = 0;
   started.next_request = 0;
-  this->Run(host, [](EntryHost& core, Instant now) { return core.Start(now); });
-  this->Run(host, [](EntryHost& core, Instant now) {
+  this->RunHost(host,
+                [](EntryHost& core, Instant now) { return core.Start(now); });
+  this->RunHost(host, [](EntryHost& core, Instant now) {
     return core.Step(now, WallClockRead{0});
   });
 }
 
-void World::KillHost(std::size_t host) {
+void FleetSimulation::KillHost(std::size_t host) {
   Host& killed = this->hosts[host];
-  ++killed.life;
+  ++killed.incarnation;
   killed.core.reset();
-  killed.held.clear();
-  this->network.DropHost(host);
+  killed.deferred.clear();
+  this->network.CloseHostExchanges(host);
   for (const auto& [request, caller] : killed.callers) {
     CallerLog& log = this->callers[caller];
     log.aborted = !log.ended;
@@ -169,45 +172,48 @@
   killed.callers.clear();
 }
 
-void World::FreezeHost(std::size_t host) { this->hosts[host].frozen = true; }
+void FleetSimulation::FreezeHost(std::size_t host) {
+  this->hosts[host].frozen = true;
+}
 
-void World::ThawHost(std::size_t host) {
+void FleetSimulation::ThawHost(std::size_t host) {
   Host& thawed = this->hosts[host];
   thawed.frozen = false;
-  for (std::function<void()>& work : std::exchange(thawed.held, {})) {
+  for (std::function<void()>& work : std::exchange(thawed.deferred, {})) {
     work();
   }
 }
 
-void World::DrainHost(std::size_t host) {
-  this->Run(host, [](EntryHost& core, Instant now) { return core.Drain(now); });
+void FleetSimulation::DrainHost(std::size_t host) {
+  this->RunHost(host,
+                [](EntryHost& core, Instant now) { return core.Drain(now); });
 }
 
-bool World::HostLives(std::size_t host) const {
+bool FleetSimulation::IsHostRunning(std::size_t host) const {
   return this->hosts[host].core != nullptr;
 }
 
-void World::Run(std::size_t host,
-                const std::function<Actions(EntryHost&, Instant)>& step) {
+void FleetSimulation::RunHost(
+    std::size_t host, const std::function<Actions(EntryHost&, Instant)>& step) {
   Host& running = this->hosts[host];
   if (running.core == nullptr) {
     return;
   }
   if (running.frozen) {
-    const std::uint64_t life = running.life;
-    running.held.emplace_back([this, host, step, life] {
-      if (life == this->hosts[host].life) {
-        this->Run(host, step);
+    const std::uint64_t incarnation = running.incarnation;
+    running.deferred.emplace_back([this, host, step, incarnation] {
+      if (incarnation == this->hosts[host].incarnation) {
+        this->RunHost(host, step);
       }
     });
     return;
   }
   const Actions actions = step(*running.core, this->timeline.Now());
-  this->Carry(host, actions);
+  this->Execute(host, actions);
   this->ScheduleTick(host);
 }
 
-void World::ScheduleTick(std::size_t host) {
+void FleetSimulation::ScheduleTick(std::size_t host) {
   Host& running = this->hosts[host];
   if (running.core == nullptr) {
     return;
@@ -217,59 +223,60 @@
   if (due == kNever) {
     return;
   }
-  const Duration delay = std::max(due - this->timeline.Now(), kShortestTick);
-  const std::uint64_t life = running.life;
-  this->timeline.After(delay, [this, host, tick, life] {
-    if (life == this->hosts[host].life && tick == this->hosts[host].tick) {
-      this->Run(host,
-                [](EntryHost& core, Instant now) { return core.Tick(now); });
+  const Duration delay = std::max(due - this->timeline.Now(), kMinTickDelay);
+  const std::uint64_t incarnation = running.incarnation;
+  this->timeline.Schedule(delay, [this, host, tick, incarnation] {
+    if (incarnation == this->hosts[host].incarnation &&
+        tick == this->hosts[host].tick) {
+      this->RunHost(
+          host, [](EntryHost& core, Instant now) { return core.Tick(now); });
     }
   });
 }
 
-void World::Deliver(std::size_t host, const Event& event) {
-  this->Run(host, [event](EntryHost& core, Instant now) {
+void FleetSimulation::Deliver(std::size_t host, const Event& event) {
+  this->RunHost(host, [event](EntryHost& core, Instant now) {
     return core.Step(now, event);
   });
 }
 
 // ---- Orders of the cores ----
 
-void World::Carry(std::size_t host, const Actions& actions) {
+void FleetSimulation::Execute(std::size_t host, const Actions& actions) {
   for (const Action& action : actions) {
-    this->Carry(host, action);
+    this->Execute(host, action);
   }
 }
 
-void World::Carry(std::size_t host, const Action& action) {
+void FleetSimulation::Execute(std::size_t host, const Action& action) {
   Host& from = this->hosts[host];
-  const auto caller_of = [&](RequestId id) -> CallerLog* {
+  const auto find_caller = [&](RequestId id) -> CallerLog* {
     const auto found = from.callers.find(id.value);
     return found == from.callers.end() ? nullptr
                                        : &this->callers[found->second];
   };
   if (const auto* call = std::get_if<HttpCall>(&action)) {
-    const bool platform_call = ServerOf(call->url) == "platform";
+    const bool platform_call = ServerName(call->url) == "platform";
     this->platform_calls += platform_call ? 1 : 0;
-    this->report_calls += PathOf(call->url) == "/v1/load" ? 1 : 0;
-    this->network.Call(host, *call);
+    this->report_calls += PathAndQuery(call->url) == "/v1/load" ? 1 : 0;
+    this->network.StartCall(host, *call);
   } else if (const auto* cancel = std::get_if<HttpCancel>(&action)) {
     this->network.Cancel(host, cancel->id);
   } else if (const auto* frame = std::get_if<PeerSend>(&action)) {
     this->SendFrame(host, *frame);
   } else if (const auto* head = std::get_if<ReplyHead>(&action)) {
-    if (CallerLog* log = caller_of(head->id)) {
+    if (CallerLog* log = find_caller(head->id)) {
       log->status = head->status;
       log->headers = head->headers;
     }
   } else if (const auto* body = std::get_if<ReplyBody>(&action)) {
     if (body->id.value >= kPageRequest) {
       this->page += body->bytes;
-    } else if (CallerLog* log = caller_of(body->id)) {
+    } else if (CallerLog* log = find_caller(body->id)) {
       log->body += body->bytes;
     }
   } else if (const auto* end = std::get_if<ReplyEnd>(&action)) {
-    if (CallerLog* log = caller_of(end->id)) {
+    if (CallerLog* log = find_caller(end->id)) {
       if (log->ended) {
         this->violations.emplace_back("a request was answered twice");
       }
@@ -288,7 +295,7 @@
   }
 }
 
-void World::SendFrame(std::size_t host, const PeerSend& send) {
+void FleetSimulation::SendFrame(std::size_t host, const PeerSend& send) {
   ++this->peer_frames;
   this->peer_bytes += send.bytes.size();
   const auto envelope = DecodePeerEnvelope(send.bytes);
@@ -300,9 +307,9 @@
     if (this->hosts[i].id == send.to.value) {
       const Duration delay(
           static_cast<std::int64_t>(200 + this->random.Below(1500)));
-      const std::uint64_t life = this->hosts[i].life;
-      this->timeline.After(delay, [this, i, frame, life] {
-        if (life == this->hosts[i].life) {
+      const std::uint64_t incarnation = this->hosts[i].incarnation;
+      this->timeline.Schedule(delay, [this, i, frame, incarnation] {
+        if (incarnation == this->hosts[i].incarnation) {
           this->Deliver(i, frame);
         }
       });
@@ -312,8 +319,8 @@
 
 // ---- Callers ----
 
-std::size_t World::Send(std::size_t host, CallerRequest request,
-                        Duration wait) {
+std::size_t FleetSimulation::Send(std::size_t host, CallerRequest request,
+                                  Duration wait) {
   const std::size_t caller = this->callers.size();
   Host& to = this->hosts[host];
   request.id = RequestId{++to.next_request};
@@ -329,13 +336,13 @@
   this->callers.push_back(std::move(log));
   if (to.core != nullptr) {
     to.callers[request.id.value] = caller;
-    this->network.Step("caller", "host");
+    this->network.RecordStep("caller", "host");
     this->Deliver(host, request);
   }
   return caller;
 }
 
-void World::Leave(std::size_t caller) {
+void FleetSimulation::Disconnect(std::size_t caller) {
   CallerLog& log = this->callers[caller];
   log.aborted = true;
   log.ended_at = this->timeline.Now();
@@ -343,12 +350,13 @@
   this->Deliver(log.host, CallerGone{log.request.id});
 }
 
-bool World::Over(std::size_t caller) const {
+bool FleetSimulation::IsFinished(std::size_t caller) const {
   const CallerLog& log = this->callers[caller];
   return log.ended || log.aborted;
 }
 
-std::string World::Page(std::size_t host, const std::string& path) {
+std::string FleetSimulation::FetchPage(std::size_t host,
+                                       const std::string& path) {
   this->page.clear();
   CallerRequest request;
   request.id = RequestId{kPageRequest};
@@ -359,7 +367,7 @@
   return this->page;
 }
 
-std::uint64_t World::FleetVersion(std::size_t host) {
+std::uint64_t FleetSimulation::ActiveFleetVersion(std::size_t host) {
   return this->hosts[host].version;
 }
 
--- a/tests/core/world.h
+++ b/tests/core/world.h
@@ -35,7 +35,7 @@
 };
 
 /// @brief How large a world is.
-struct WorldOptions {
+struct FleetSimulationOptions {
   std::uint64_t seed = 1;
   std::size_t hosts = 2;
   std::size_t engines = 2;
@@ -45,12 +45,12 @@
 };
 
 /// @brief A small fleet in virtual time.
-class World {
+class FleetSimulation {
  public:
-  explicit World(WorldOptions options);
-  ~World();
-  World(const World&) = delete;
-  World& operator=(const World&) = delete;
+  explicit FleetSimulation(FleetSimulationOptions options);
+  ~FleetSimulation();
+  FleetSimulation(const FleetSimulation&) = delete;
+  FleetSimulation& operator=(const FleetSimulation&) = delete;
 
   /// @brief Runs until something holds.
   /// @return false when it does not hold within the limit
@@ -69,10 +69,10 @@
   std::size_t Send(std::size_t host, CallerRequest request, Duration wait);
 
   /// @brief The caller closes its connection.
-  void Leave(std::size_t caller);
+  void Disconnect(std::size_t caller);
 
   /// @return whether the caller's exchange is over, one way or the other
-  bool Over(std::size_t caller) const;
+  bool IsFinished(std::size_t caller) const;
 
   // ---- Faults of hosts ----
   void KillHost(std::size_t host);
@@ -80,7 +80,7 @@
   void FreezeHost(std::size_t host);
   void ThawHost(std::size_t host);
   void DrainHost(std::size_t host);
-  bool HostLives(std::size_t host) const;
+  bool IsHostRunning(std::size_t host) const;
 
   /// @brief Applies a fleet document that differs from the last by its change
   /// id.
@@ -88,10 +88,10 @@
   std::uint64_t ApplyDocument();
 
   /// @brief Asks a host for one of its pages, outside of the callers' record.
-  std::string Page(std::size_t host, const std::string& path);
+  std::string FetchPage(std::size_t host, const std::string& path);
 
   /// @return the fleet version that a host has in force
-  std::uint64_t FleetVersion(std::size_t host);
+  std::uint64_t ActiveFleetVersion(std::size_t host);
 
   Timeline timeline;
   Network network;
@@ -112,25 +112,25 @@
   struct Host {
     std::unique_ptr<EntryHost> core;
     std::string id;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::uint64_t tick = 0;  ///< number of the tick that counts
     bool frozen = false;
-    std::vector<std::function<void()>> held;
+    std::vector<std::function<void()>> deferred;
     std::uint64_t next_request = 0;
     std::map<std::uint64_t, std::size_t> callers;  ///< by request id
     std::uint64_t version = 0;  ///< highest document version seen in force
   };
 
   void Deliver(std::size_t host, const Event& event);
-  void Run(std::size_t host,
-           const std::function<Actions(EntryHost&, Instant)>& step);
-  void Carry(std::size_t host, const Actions& actions);
-  void Carry(std::size_t host, const Action& action);
+  void RunHost(std::size_t host,
+               const std::function<Actions(EntryHost&, Instant)>& step);
+  void Execute(std::size_t host, const Actions& actions);
+  void Execute(std::size_t host, const Action& action);
   void ScheduleTick(std::size_t host);
   void SendFrame(std::size_t host, const PeerSend& send);
   std::string DocumentText(std::uint64_t change) const;
 
-  WorldOptions options;
+  FleetSimulationOptions options;
   Random random;
   std::vector<Host> hosts;
   std::uint64_t changes = 0;
--- a/tests/hosts/host_group.cc
+++ b/tests/hosts/host_group.cc
@@ -8,14 +8,14 @@
 namespace {
 
 constexpr Duration kPlatformDelay = std::chrono::milliseconds(4);
-constexpr std::size_t kNobody = static_cast<std::size_t>(-1);
+constexpr std::size_t kUnknownHost = static_cast<std::size_t>(-1);
 
-std::string NameOf(std::size_t index) {
+std::string HostName(std::size_t index) {
   std::string digits = std::to_string(index);
   return "entry-perth-" + std::string(4 - digits.size(), '0') + digits;
 }
 
-Duration WaitOf(const HttpCall& call) {
+Duration WatchTimeout(const HttpCall& call) {
   const std::size_t at = call.url.find("wait_ms=");
   return at == std::string::npos
              ? Duration{0}
@@ -29,7 +29,7 @@
   nlohmann::json rows = nlohmann::json::array();
   for (std::size_t i = 0; i < this->options.hosts; ++i) {
     GroupHost host;
-    host.id = HostId{NameOf(i)};
+    host.id = HostId{HostName(i)};
     rows.push_back({{"id", host.id.value},
                     {"address", "10.0.0.1:" + std::to_string(1000 + i)},
                     {"role", "entry"},
@@ -39,26 +39,26 @@
   this->platform.hosts_body = nlohmann::json{{"hosts", rows}}.dump();
 }
 
-Duration HostGroup::Delay() {
+Duration HostGroup::RandomDelay() {
   const auto spread =
-      (this->options.most_delay - this->options.least_delay).count();
+      (this->options.max_delay - this->options.min_delay).count();
   const std::uint64_t extra =
       this->random.Below(static_cast<std::uint64_t>(spread) + 1);
-  return this->options.least_delay + Duration(extra);
+  return this->options.min_delay + Duration(extra);
 }
 
-std::size_t HostGroup::IndexOf(const HostId& id) const {
+std::size_t HostGroup::HostIndex(const HostId& id) const {
   const std::size_t index = std::stoul(id.value.substr(id.value.size() - 4));
-  return index < this->hosts.size() ? index : kNobody;
+  return index < this->hosts.size() ? index : kUnknownHost;
 }
 
 void HostGroup::StartHost(std::size_t index) {
   GroupHost& host = this->hosts[index];
-  ++host.boots;
-  host.up = true;
-  host.wake = kNever;
+  ++host.incarnation;
+  host.running = true;
+  host.wakeup = kNever;
   const std::uint64_t seed =
-      this->options.seed * 1000003 + index * 101 + host.boots;
+      this->options.seed * 1000003 + index * 101 + host.incarnation;
   MetadataStoreSettings platform;
   platform.url = "http://10.0.0.9:80";
   platform.budget = ShareOfLimits({}, this->options.hosts);
@@ -87,7 +87,7 @@
       });
   host.membership->Start(this->now);
   host.configuration->Start(this->now);
-  this->Settle(index);
+  this->ProcessActions(index);
 }
 
 void HostGroup::StartAll() {
@@ -98,7 +98,7 @@
 
 void HostGroup::Kill(std::size_t index) {
   GroupHost& host = this->hosts[index];
-  host.up = false;
+  host.running = false;
   host.configuration.reset();
   host.membership.reset();
   host.client.reset();
@@ -110,8 +110,8 @@
 
 void HostGroup::Schedule(Instant at, std::size_t host,
                          std::function<void()> run) {
-  this->queue.push(
-      {at, this->next_order++, host, this->hosts[host].boots, std::move(run)});
+  this->queue.push({at, this->next_order++, host, this->hosts[host].incarnation,
+                    std::move(run)});
 }
 
 bool HostGroup::Step(Instant end) {
@@ -119,16 +119,16 @@
     this->now = end;
     return false;
   }
-  Happening happening = this->queue.top();
+  ScheduledTask task = this->queue.top();
   this->queue.pop();
-  this->now = std::max(this->now, happening.at);
-  GroupHost& host = this->hosts[happening.host];
-  if (!host.up || host.boots != happening.boots) {
+  this->now = std::max(this->now, task.at);
+  GroupHost& host = this->hosts[task.host];
+  if (!host.running || host.incarnation != task.incarnation) {
     return true;
   }
   if (host.frozen_until > this->now) {
-    happening.at = host.frozen_until;
-    this->queue.push(std::move(happening));
+    task.at = host.frozen_until;
+    this->queue.push(std::move(task));
     return true;
   }
   const auto clock = this->options.processor_clock;
@@ -136,17 +136,17 @@
   host.membership->Tick(this->now);
   host.configuration->Tick(this->now);
   host.client->Tick(this->now);
-  if (happening.run) {
-    happening.run();
-  } else if (host.wake <= this->now) {
-    host.wake = kNever;
+  if (task.run) {
+    task.run();
+  } else if (host.wakeup <= this->now) {
+    host.wakeup = kNever;
   }
-  this->Settle(happening.host);
+  this->ProcessActions(task.host);
   host.processor_seconds += clock ? clock() - began : 0;
   return true;
 }
 
-void HostGroup::Run(Duration span) {
+void HostGroup::RunFor(Duration span) {
   const Instant end = this->now + span;
   while (this->Step(end)) {
   }
@@ -161,26 +161,26 @@
   return holds();
 }
 
-void HostGroup::Settle(std::size_t index) {
-  while (this->SettleOnce(index)) {
+void HostGroup::ProcessActions(std::size_t index) {
+  while (this->ProcessActionsOnce(index)) {
   }
   GroupHost& host = this->hosts[index];
-  const Instant wake =
+  const Instant wakeup =
       std::min({host.membership->NextWakeup(), host.configuration->NextWakeup(),
                 host.client->NextWakeup()});
-  if (wake < host.wake) {
-    host.wake = std::max(wake, this->now);
-    this->Schedule(host.wake, index, {});
+  if (wakeup < host.wakeup) {
+    host.wakeup = std::max(wakeup, this->now);
+    this->Schedule(host.wakeup, index, {});
   }
 }
 
-bool HostGroup::SettleOnce(std::size_t index) {
+bool HostGroup::ProcessActionsOnce(std::size_t index) {
   GroupHost& host = this->hosts[index];
   bool any = false;
   for (const Action& action : host.client->TakeActions()) {
     any = true;
     if (const auto* call = std::get_if<HttpCall>(&action)) {
-      this->CarryCall(index, *call);
+      this->ExecuteCall(index, *call);
     }
   }
   for (const StoreResult& result : host.client->TakeResults()) {
@@ -195,8 +195,8 @@
     any = true;
     if (const auto* send = std::get_if<ConfigurationSend>(&action)) {
       this->SendFrame(index, send->to, PeerKind::kConfiguration, send->bytes);
-    } else if (this->on_adopted) {
-      this->on_adopted(index, std::get<ConfigurationApplied>(action));
+    } else if (this->on_applied) {
+      this->on_applied(index, std::get<ConfigurationApplied>(action));
     }
   }
   return any;
@@ -220,8 +220,8 @@
     if (this->on_live) {
       this->on_live(index, *live);
     }
-  } else if (const auto* ride = std::get_if<ProbePayloadReceived>(&action)) {
-    host.configuration->OnDigest(this->now, ride->from, ride->bytes);
+  } else if (const auto* payload = std::get_if<ProbePayloadReceived>(&action)) {
+    host.configuration->OnDigest(this->now, payload->from, payload->bytes);
   }
   if (this->on_membership) {
     this->on_membership(index, action);
@@ -236,15 +236,15 @@
   ++host.frames;
   host.bytes += frame.bytes.size();
   host.largest_frame = std::max(host.largest_frame, frame.bytes.size());
-  const std::size_t index = this->IndexOf(to);
-  const bool lost = index == kNobody || !this->hosts[index].up ||
-                    this->random.Fraction() < this->options.loss ||
-                    (this->cut && this->cut(from, index));
+  const std::size_t index = this->HostIndex(to);
+  const bool lost = index == kUnknownHost || !this->hosts[index].running ||
+                    this->random.Fraction() < this->options.loss_rate ||
+                    (this->drop_frame && this->drop_frame(from, index));
   if (lost) {
     return;
   }
   this->Schedule(
-      this->now + this->Delay(), index,
+      this->now + this->RandomDelay(), index,
       [this, index, frame = std::move(frame)] { this->Deliver(index, frame); });
 }
 
@@ -261,70 +261,73 @@
   }
 }
 
-void HostGroup::CarryCall(std::size_t index, const HttpCall& call) {
-  const CallFate fate =
-      this->fate ? this->fate(index, call) : CallFate::kServed;
+void HostGroup::ExecuteCall(std::size_t index, const HttpCall& call) {
+  const CallFate call_fate =
+      this->call_fate ? this->call_fate(index, call) : CallFate::kServed;
   const CallId id = call.id;
-  if (fate == CallFate::kNotConnected) {
+  if (call_fate == CallFate::kNotConnected) {
     this->Schedule(this->now + kPlatformDelay, index, [this, index, id] {
-      this->GiveEvent(index, HttpDone{id, HttpEnd::kNotConnected});
+      this->DeliverEvent(index, HttpDone{id, HttpEnd::kNotConnected});
     });
     return;
   }
-  this->Schedule(this->now + kPlatformDelay, index, [this, index, call, fate] {
-    this->ServeCall(index, call, fate);
-  });
+  this->Schedule(this->now + kPlatformDelay, index,
+                 [this, index, call, call_fate] {
+                   this->ServeCall(index, call, call_fate);
+                 });
 }
 
 void HostGroup::ServeCall(std::size_t index, const HttpCall& call,
-                          CallFate fate) {
-  const std::uint64_t boots = this->hosts[index].boots;
-  if (fate == CallFate::kOutage || fate == CallFate::kThrottled) {
-    const int status = fate == CallFate::kOutage ? 503 : 429;
-    this->AnswerCall(index, boots, call.id, {status, 0, ""});
+                          CallFate call_fate) {
+  const std::uint64_t incarnation = this->hosts[index].incarnation;
+  if (call_fate == CallFate::kOutage || call_fate == CallFate::kThrottled) {
+    const int status = call_fate == CallFate::kOutage ? 503 : 429;
+    this->RespondToCall(index, incarnation, call.id, {status, 0, ""});
     return;
   }
-  const FakePlatform::Answer answer = this->platform.Serve(call);
-  if (fate == CallFate::kHangs) {
+  const FakePlatform::Answer response = this->platform.Serve(call);
+  if (call_fate == CallFate::kHangs) {
     return;
   }
-  if (fate == CallFate::kAnswerLost) {
-    this->GiveEvent(index, HttpDone{call.id, HttpEnd::kCut});
+  if (call_fate == CallFate::kAnswerLost) {
+    this->DeliverEvent(index, HttpDone{call.id, HttpEnd::kCut});
     return;
   }
-  if (answer.status != 0) {
-    this->AnswerCall(index, boots, call.id, answer);
+  if (response.status != 0) {
+    this->RespondToCall(index, incarnation, call.id, response);
     return;
   }
-  const Instant until = this->now + WaitOf(call);
-  this->waiters.push_back({index, boots, call, until});
+  const Instant until = this->now + WatchTimeout(call);
+  this->pending_watches.push_back({index, incarnation, call, until});
   const CallId id = call.id;
-  this->Schedule(until, index, [this, index, boots, id] {
-    const auto same = [id](const Waiter& waiter) {
-      return waiter.call.id == id;
+  this->Schedule(until, index, [this, index, incarnation, id] {
+    const auto same = [id](const PendingWatch& watch) {
+      return watch.call.id == id;
     };
-    const auto found =
-        std::find_if(this->waiters.begin(), this->waiters.end(), same);
-    if (found != this->waiters.end()) {
-      this->waiters.erase(found);
-      this->AnswerCall(index, boots, id, {204, 0, ""});
+    const auto found = std::find_if(this->pending_watches.begin(),
+                                    this->pending_watches.end(), same);
+    if (found != this->pending_watches.end()) {
+      this->pending_watches.erase(found);
+      this->RespondToCall(index, incarnation, id, {204, 0, ""});
     }
   });
 }
 
-void HostGroup::AnswerCall(std::size_t index, std::uint64_t boots, CallId id,
-                           const FakePlatform::Answer& answer) {
-  if (!this->hosts[index].up || this->hosts[index].boots != boots) {
+void HostGroup::RespondToCall(std::size_t index, std::uint64_t incarnation,
+                              CallId id, const FakePlatform::Answer& response) {
+  if (!this->hosts[index].running ||
+      this->hosts[index].incarnation != incarnation) {
     return;
   }
-  this->Schedule(this->now + kPlatformDelay, index, [this, index, id, answer] {
-    for (const Event& event : ToEvents(id, answer)) {
-      this->GiveEvent(index, event);
-    }
-  });
+  this->Schedule(this->now + kPlatformDelay, index,
+                 [this, index, id, response] {
+                   for (const Event& event : ToEvents(id, response)) {
+                     this->DeliverEvent(index, event);
+                   }
+                 });
 }
 
-void HostGroup::GiveEvent(std::size_t index, const Event& event) {
+void HostGroup::DeliverEvent(std::size_t index, const Event& event) {
   MetadataStoreClient& client = *this->hosts[index].client;
   if (const auto* head = std::get_if<HttpHead>(&event)) {
     client.OnHead(this->now, *head);
@@ -339,50 +342,52 @@
   FakePlatform::Object& object = this->platform.objects["fleet/today"];
   ++object.version;
   object.bytes = text;
-  this->WakeWatches();
+  this->CompleteWatches();
   return object.version;
 }
 
-void HostGroup::WakeWatches() {
-  std::vector<Waiter> waiting;
-  std::swap(waiting, this->waiters);
-  for (Waiter& waiter : waiting) {
-    const FakePlatform::Answer answer = this->platform.Serve(waiter.call);
+void HostGroup::CompleteWatches() {
+  std::vector<PendingWatch> watches;
+  std::swap(watches, this->pending_watches);
+  for (PendingWatch& watch : watches) {
+    const FakePlatform::Answer response = this->platform.Serve(watch.call);
     --this->platform.watches;  // the same call, not a new one
-    if (answer.status == 0) {
-      this->waiters.push_back(std::move(waiter));
+    if (response.status == 0) {
+      this->pending_watches.push_back(std::move(watch));
     } else {
-      this->AnswerCall(waiter.host, waiter.boots, waiter.call.id, answer);
+      this->RespondToCall(watch.host, watch.incarnation, watch.call.id,
+                          response);
     }
   }
 }
 
 bool HostGroup::ViewsAgree() const {
-  std::vector<HostId> up;
+  std::vector<HostId> running;
   for (const GroupHost& host : this->hosts) {
-    if (host.up) {
-      up.push_back(host.id);
+    if (host.running) {
+      running.push_back(host.id);
     }
   }
   return std::all_of(this->hosts.begin(), this->hosts.end(),
-                     [&up](const GroupHost& host) {
-                       return !host.up || host.membership->Live() == up;
+                     [&running](const GroupHost& host) {
+                       return !host.running ||
+                              host.membership->Live() == running;
                      });
 }
 
 std::size_t HostGroup::CountAtVersion(std::uint64_t version) const {
   std::size_t count = 0;
   for (const GroupHost& host : this->hosts) {
-    const bool at = host.up && host.configuration->Version() >= version;
+    const bool at = host.running && host.configuration->Version() >= version;
     count += at ? 1 : 0;
   }
   return count;
 }
 
-std::size_t HostGroup::CountUp() const {
+std::size_t HostGroup::CountRunning() const {
   std::size_t count = 0;
   for (const GroupHost& host : this->hosts) {
-    count += host.up ? 1 : 0;
+    count += host.running ? 1 : 0;
   }
   return count;
 }
--- a/tests/hosts/host_group.h
+++ b/tests/hosts/host_group.h
@@ -22,9 +22,9 @@
 struct GroupOptions {
   std::size_t hosts = 6;
   std::uint64_t seed = 1;
-  Duration least_delay{std::chrono::milliseconds(2)};
-  Duration most_delay{std::chrono::milliseconds(25)};
-  double loss = 0.0;  ///< share of peer messages that vanish
+  Duration min_delay{std::chrono::milliseconds(2)};
+  Duration max_delay{std::chrono::milliseconds(25)};
+  double loss_rate = 0.0;  ///< share of peer messages that vanish
   MembershipSettings membership;
   ConfigurationSettings configuration;
   /// Seconds of processor time so far, for measurements; may be empty.
@@ -34,13 +34,13 @@
 /// @brief One host of a group and what was counted of it.
 struct GroupHost {
   HostId id;
-  std::uint64_t boots = 0;
-  bool up = false;
+  std::uint64_t incarnation = 0;
+  bool running = false;
   Instant frozen_until{};
   std::unique_ptr<MetadataStoreClient> client;
   std::unique_ptr<Membership> membership;
   std::unique_ptr<ConfigurationStore> configuration;
-  Instant wake = kNever;
+  Instant wakeup = kNever;
   std::uint64_t frames = 0;  ///< sent
   std::uint64_t bytes = 0;   ///< of frames sent, envelope included
   std::uint64_t largest_frame = 0;
@@ -61,7 +61,7 @@
   /// @brief Lets a host stand still; what is sent to it waits.
   void Freeze(std::size_t index, Duration span);
   /// @brief Lets virtual time pass.
-  void Run(Duration span);
+  void RunFor(Duration span);
   /// @brief Runs until a condition holds; checked after each event.
   /// @return whether it held within the limit
   bool RunUntil(const std::function<bool()>& holds, Duration limit);
@@ -69,69 +69,70 @@
   /// @return the new version
   std::uint64_t WriteDocument(const std::string& text);
   /// @brief Answers watches whose object has become newer.
-  void WakeWatches();
+  void CompleteWatches();
 
   /// @return whether each running host holds exactly the running ones for live
   bool ViewsAgree() const;
   /// @return the running hosts that have at least this version in force
   std::size_t CountAtVersion(std::uint64_t version) const;
-  std::size_t CountUp() const;
+  std::size_t CountRunning() const;
 
   GroupOptions options;
   std::vector<GroupHost> hosts;
   FakePlatform platform;
   Instant now{std::chrono::seconds(1000)};
   /// Whether a frame from a to b is lost; may be empty.
-  std::function<bool(std::size_t a, std::size_t b)> cut;
+  std::function<bool(std::size_t a, std::size_t b)> drop_frame;
   /// What befalls a host's call; may be empty.
-  std::function<CallFate(std::size_t host, const HttpCall& call)> fate;
+  std::function<CallFate(std::size_t host, const HttpCall& call)> call_fate;
   /// Told of every adoption and live list; may be empty.
-  std::function<void(std::size_t host, const ConfigurationApplied&)> on_adopted;
+  std::function<void(std::size_t host, const ConfigurationApplied&)> on_applied;
   std::function<void(std::size_t host, const LiveHostsChanged&)> on_live;
   std::function<void(std::size_t host, const MembershipAction&)> on_membership;
 
  private:
-  struct Happening {
+  struct ScheduledTask {
     Instant at;
     std::uint64_t order = 0;
     std::size_t host = 0;
-    std::uint64_t boots = 0;
+    std::uint64_t incarnation = 0;
     std::function<void()> run;  ///< empty: a wakeup
   };
-  struct Later {
-    bool operator()(const Happening& a, const Happening& b) const {
+  struct RunsLater {
+    bool operator()(const ScheduledTask& a, const ScheduledTask& b) const {
       return a.at != b.at ? a.at > b.at : a.order > b.order;
     }
   };
-  struct Waiter {
+  struct PendingWatch {
     std::size_t host = 0;
-    std::uint64_t boots = 0;
+    std::uint64_t incarnation = 0;
     HttpCall call;
     Instant until{};
   };
 
   bool Step(Instant end);
   void Schedule(Instant at, std::size_t host, std::function<void()> run);
-  void Settle(std::size_t index);
-  bool SettleOnce(std::size_t index);
+  void ProcessActions(std::size_t index);
+  bool ProcessActionsOnce(std::size_t index);
   void RouteResult(std::size_t index, const StoreResult& result);
   void HandleMembership(std::size_t index, const MembershipAction& action);
   void SendFrame(std::size_t from, const HostId& to, PeerKind kind,
                  const std::string& payload);
   void Deliver(std::size_t to, const PeerFrame& frame);
-  void CarryCall(std::size_t index, const HttpCall& call);
-  void ServeCall(std::size_t index, const HttpCall& call, CallFate fate);
-  void AnswerCall(std::size_t index, std::uint64_t boots, CallId id,
-                  const FakePlatform::Answer& answer);
-  void GiveEvent(std::size_t index, const Event& event);
-  std::size_t IndexOf(const HostId& id) const;
-  Duration Delay();
+  void ExecuteCall(std::size_t index, const HttpCall& call);
+  void ServeCall(std::size_t index, const HttpCall& call, CallFate call_fate);
+  void RespondToCall(std::size_t index, std::uint64_t incarnation, CallId id,
+                     const FakePlatform::Answer& response);
+  void DeliverEvent(std::size_t index, const Event& event);
+  std::size_t HostIndex(const HostId& id) const;
+  Duration RandomDelay();
 
   Random random;
   std::uint64_t next_order = 0;
   std::uint64_t next_call = 0;
-  std::vector<Waiter> waiters;
-  std::priority_queue<Happening, std::vector<Happening>, Later> queue;
+  std::vector<PendingWatch> pending_watches;
+  std::priority_queue<ScheduledTask, std::vector<ScheduledTask>, RunsLater>
+      queue;
 };
 
 }  // namespace limpetlink::testing
--- a/tests/hosts/membership_test.cc
+++ b/tests/hosts/membership_test.cc
@@ -18,14 +18,14 @@
     return options;
   }
 
-  static bool Settles(HostGroup* group, Duration limit) {
+  static bool ViewsConverge(HostGroup* group, Duration limit) {
     return group->RunUntil([group] { return group->ViewsAgree(); }, limit);
   }
 
-  static std::uint64_t Deaths(const HostGroup& group) {
+  static std::uint64_t CountDeaths(const HostGroup& group) {
     std::uint64_t deaths = 0;
     for (const GroupHost& host : group.hosts) {
-      deaths += host.up ? host.membership->Counters().deaths : 0;
+      deaths += host.running ? host.membership->Counters().deaths : 0;
     }
     return deaths;
   }
@@ -38,8 +38,8 @@
       HostGroup group(Options(hosts, seed));
       group.StartAll();
       INFO("hosts " << hosts << " seed " << seed);
-      REQUIRE(Settles(&group, seconds(15)));
-      group.Run(seconds(8));
+      REQUIRE(ViewsConverge(&group, seconds(15)));
+      group.RunFor(seconds(8));
       CHECK(group.hosts[0].membership->Current());
     }
   }
@@ -51,17 +51,17 @@
     "and none is taken for dead") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     GroupOptions options = Options(3 + seed % 12, seed);
-    options.loss = seed % 2 == 0 ? 0.02 : 0.0;
+    options.loss_rate = seed % 2 == 0 ? 0.02 : 0.0;
     HostGroup group(options);
     group.StartAll();
-    REQUIRE(Settles(&group, seconds(15)));
-    group.Run(seconds(5));
+    REQUIRE(ViewsConverge(&group, seconds(15)));
+    group.RunFor(seconds(5));
     group.Kill(1);
     INFO("seed " << seed);
-    REQUIRE(Settles(&group, seconds(16)));
-    const std::uint64_t deaths = Deaths(group);
-    group.Run(seconds(60));
-    CHECK(Deaths(group) == deaths);
+    REQUIRE(ViewsConverge(&group, seconds(16)));
+    const std::uint64_t deaths = CountDeaths(group);
+    group.RunFor(seconds(60));
+    CHECK(CountDeaths(group) == deaths);
     CHECK(group.ViewsAgree());
   }
 }
@@ -72,23 +72,24 @@
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     HostGroup group(Options(6, seed));
     group.StartAll();
-    REQUIRE(Settles(&group, seconds(15)));
-    group.Run(seconds(5));
-    std::vector<bool> told(6, false);
-    group.on_membership = [&told](std::size_t host,
-                                  const MembershipAction& action) {
-      told[host] = told[host] || std::holds_alternative<HostRestarted>(action);
+    REQUIRE(ViewsConverge(&group, seconds(15)));
+    group.RunFor(seconds(5));
+    std::vector<bool> notified(6, false);
+    group.on_membership = [&notified](std::size_t host,
+                                      const MembershipAction& action) {
+      notified[host] =
+          notified[host] || std::holds_alternative<HostRestarted>(action);
     };
     group.Kill(2);
-    group.Run(seconds(seed % 3 == 0 ? 20 : 1));
+    group.RunFor(seconds(seed % 3 == 0 ? 20 : 1));
     group.StartHost(2);
-    const auto all_know = [&] {
-      const auto count = std::count(told.begin(), told.end(), true);
+    const auto all_notified = [&] {
+      const auto count = std::count(notified.begin(), notified.end(), true);
       return count == 5 && group.ViewsAgree();
     };
     INFO("seed " << seed);
-    CHECK(group.RunUntil(all_know, seconds(30)));
-    group.Run(seconds(10));
+    CHECK(group.RunUntil(all_notified, seconds(30)));
+    group.RunFor(seconds(10));
     CHECK(group.ViewsAgree());
   }
 }
@@ -101,16 +102,16 @@
   const auto agree = [&group](Duration limit) {
     const Instant end = group.now + limit;
     while (!group.ViewsAgree() && group.now < end) {
-      group.Run(std::chrono::milliseconds(500));
+      group.RunFor(std::chrono::milliseconds(500));
     }
     return group.ViewsAgree();
   };
   REQUIRE(agree(seconds(30)));
-  group.Run(seconds(20));
+  group.RunFor(seconds(20));
   for (const GroupHost& host : group.hosts) {
     CHECK(host.membership->Neighbours().size() <= 14);
   }
-  const std::uint64_t before = Deaths(group);
+  const std::uint64_t before = CountDeaths(group);
   CHECK(before == 0);
   group.Kill(77);
   CHECK(agree(seconds(15)));
@@ -123,9 +124,9 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     HostGroup group(Options(8, seed));
     group.StartAll();
-    REQUIRE(Settles(&group, seconds(15)));
+    REQUIRE(ViewsConverge(&group, seconds(15)));
     group.hosts[3].membership->Leave(group.now);
-    const auto dropped = [&group] {
+    const auto removed_everywhere = [&group] {
       return std::all_of(group.hosts.begin(), group.hosts.end(),
                          [&group](const GroupHost& host) {
                            const auto& live = host.membership->Live();
@@ -134,9 +135,9 @@
                          });
     };
     INFO("seed " << seed);
-    CHECK(group.RunUntil(dropped, seconds(3)));
-    group.Run(seconds(30));
-    CHECK(dropped());
+    CHECK(group.RunUntil(removed_everywhere, seconds(3)));
+    group.RunFor(seconds(30));
+    CHECK(removed_everywhere());
   }
 }
 
@@ -146,18 +147,20 @@
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     HostGroup group(Options(12, seed));
     group.StartAll();
-    REQUIRE(Settles(&group, seconds(15)));
-    group.cut = [](std::size_t a, std::size_t b) { return (a < 5) != (b < 5); };
-    const auto apart = [&group] {
+    REQUIRE(ViewsConverge(&group, seconds(15)));
+    group.drop_frame = [](std::size_t a, std::size_t b) {
+      return (a < 5) != (b < 5);
+    };
+    const auto partitioned = [&group] {
       return group.hosts[0].membership->Live().size() == 5 &&
              group.hosts[11].membership->Live().size() == 7;
     };
     INFO("seed " << seed);
-    CHECK(group.RunUntil(apart, seconds(60)));
-    group.Run(minutes(6));
-    CHECK(apart());
-    group.cut = {};
-    CHECK(Settles(&group, seconds(60)));
+    CHECK(group.RunUntil(partitioned, seconds(60)));
+    group.RunFor(minutes(6));
+    CHECK(partitioned());
+    group.drop_frame = {};
+    CHECK(ViewsConverge(&group, seconds(60)));
   }
 }
 
@@ -167,20 +170,21 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     HostGroup group(Options(9, seed));
     group.StartAll();
-    REQUIRE(Settles(&group, seconds(15)));
-    group.Run(seconds(8));
+    REQUIRE(ViewsConverge(&group, seconds(15)));
+    group.RunFor(seconds(8));
     REQUIRE(group.hosts[4].membership->Current());
-    const std::uint64_t blamed =
+    const std::uint64_t suspicions_before =
         group.hosts[4].membership->Counters().suspicions;
     group.Freeze(4, seconds(30));
-    const auto woken = [&group] {
+    const auto has_resumed = [&group] {
       return group.hosts[4].membership->Counters().freezes == 1;
     };
-    REQUIRE(group.RunUntil(woken, seconds(31)));
+    REQUIRE(group.RunUntil(has_resumed, seconds(31)));
     CHECK_FALSE(group.hosts[4].membership->Current());
     INFO("seed " << seed);
-    CHECK(Settles(&group, seconds(15)));
-    CHECK(group.hosts[4].membership->Counters().suspicions == blamed);
+    CHECK(ViewsConverge(&group, seconds(15)));
+    CHECK(group.hosts[4].membership->Counters().suspicions ==
+          suspicions_before);
     const auto current = [&group] {
       return group.hosts[4].membership->Current();
     };
@@ -193,22 +197,23 @@
                  "not make the view current") {
   HostGroup group(Options(3, 1));
   group.StartAll();
-  REQUIRE(Settles(&group, seconds(15)));
+  REQUIRE(ViewsConverge(&group, seconds(15)));
   Membership& membership = *group.hosts[0].membership;
-  std::string asked;
-  group.on_membership = [&asked](std::size_t host,
-                                 const MembershipAction& action) {
+  std::string sync_request;
+  group.on_membership = [&sync_request](std::size_t host,
+                                        const MembershipAction& action) {
     const auto* send = std::get_if<MembershipSend>(&action);
     const auto message =
         DecodeGossip(send == nullptr || host != 0 ? "" : send->bytes);
     if (message.ok() && message->kind == GossipKind::kSyncRequest) {
-      asked = send->bytes;
+      sync_request = send->bytes;
     }
   };
-  group.cut = [](std::size_t, std::size_t) { return true; };
+  group.drop_frame = [](std::size_t, std::size_t) { return true; };
   group.Freeze(0, seconds(10));
-  REQUIRE(group.RunUntil([&asked] { return !asked.empty(); }, seconds(11)));
-  const GossipMessage first = *DecodeGossip(asked);
+  REQUIRE(group.RunUntil([&sync_request] { return !sync_request.empty(); },
+                         seconds(11)));
+  const GossipMessage first = *DecodeGossip(sync_request);
   membership.Tick(group.now + seconds(20));  // frozen once more
   GossipMessage reply;
   reply.kind = GossipKind::kSyncReply;
@@ -223,10 +228,10 @@
                  "version") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     GroupOptions options = Options(30, seed);
-    options.loss = 0.02;
+    options.loss_rate = 0.02;
     HostGroup group(options);
     group.StartAll();
-    REQUIRE(Settles(&group, seconds(20)));
+    REQUIRE(ViewsConverge(&group, seconds(20)));
     std::vector<int> received(30, 0);
     group.on_membership = [&received](std::size_t host,
                                       const MembershipAction& action) {
@@ -239,7 +244,7 @@
     };
     INFO("seed " << seed);
     CHECK(group.RunUntil(everywhere, seconds(5)));
-    group.Run(seconds(10));
+    group.RunFor(seconds(10));
     CHECK(everywhere());
   }
 }
@@ -248,7 +253,7 @@
                  "membership, malformed messages, are refused and counted") {
   HostGroup group(Options(3, 1));
   group.StartAll();
-  REQUIRE(Settles(&group, seconds(15)));
+  REQUIRE(ViewsConverge(&group, seconds(15)));
   Membership& membership = *group.hosts[0].membership;
   Random random(3);
   const std::string good = EncodeGossip(
--- a/tests/ports/free_ports.cc
+++ b/tests/ports/free_ports.cc
@@ -7,10 +7,10 @@
 namespace limpetlink::testing {
 namespace {
 
-constexpr std::uint32_t kLowest = 12000;
-constexpr std::uint32_t kCount =
+constexpr std::uint32_t kFirstPort = 12000;
+constexpr std::uint32_t kPortCount =
     20000;  // up to 31999; outgoing connections begin at 32768
-constexpr std::uint32_t kPerProcess = 67;
+constexpr std::uint32_t kProcessOffset = 67;
 
 bool IsFree(std::uint16_t port) {
   const int descriptor = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -29,11 +29,12 @@
 
 std::vector<std::uint16_t> FreePorts(std::size_t count) {
   static std::uint32_t next =
-      static_cast<std::uint32_t>(getpid()) * kPerProcess;
+      static_cast<std::uint32_t>(getpid()) * kProcessOffset;
   std::vector<std::uint16_t> ports;
-  for (std::uint32_t tried = 0; tried < kCount && ports.size() < count;
-       ++tried) {
-    const auto port = static_cast<std::uint16_t>(kLowest + next++ % kCount);
+  for (std::uint32_t attempts = 0;
+       attempts < kPortCount && ports.size() < count; ++attempts) {
+    const auto port =
+        static_cast<std::uint16_t>(kFirstPort + next++ % kPortCount);
     if (IsFree(port)) {
       ports.push_back(port);
     }
--- a/tests/process/child_process.cc
+++ b/tests/process/child_process.cc
@@ -14,7 +14,9 @@
 namespace limpetlink::testing {
 namespace {
 
-int CodeOf(int status) { return WIFEXITED(status) ? WEXITSTATUS(status) : -1; }
+int ExitCode(int status) {
+  return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+}
 
 }  // namespace
 
@@ -23,19 +25,19 @@
                            const std::string& log) {
   constexpr mode_t kLogMode = 0644;
   arguments.insert(arguments.begin(), program);
-  std::vector<char*> pointers;
-  pointers.reserve(arguments.size() + 1);
+  std::vector<char*> argument_pointers;
+  argument_pointers.reserve(arguments.size() + 1);
   for (std::string& argument : arguments) {
-    pointers.push_back(argument.data());
+    argument_pointers.push_back(argument.data());
   }
-  pointers.push_back(nullptr);
+  argument_pointers.push_back(nullptr);
   posix_spawn_file_actions_t files;
   posix_spawn_file_actions_init(&files);
   posix_spawn_file_actions_addopen(&files, STDOUT_FILENO, log.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, kLogMode);
   posix_spawn_file_actions_adddup2(&files, STDOUT_FILENO, STDERR_FILENO);
-  if (posix_spawn(&this->pid, program.c_str(), &files, nullptr, pointers.data(),
-                  environ) != 0) {
+  if (posix_spawn(&this->pid, program.c_str(), &files, nullptr,
+                  argument_pointers.data(), environ) != 0) {
     this->pid = -1;
   }
   posix_spawn_file_actions_destroy(&files);
@@ -58,7 +60,7 @@
   if (this->pid > 0) {
     int status = 0;
     waitpid(this->pid, &status, 0);
-    this->exit_code = CodeOf(status);
+    this->exit_code = ExitCode(status);
     this->pid = -1;
   }
   return this->exit_code;
@@ -67,7 +69,7 @@
 bool ChildProcess::Running() {
   int status = 0;
   if (this->pid > 0 && waitpid(this->pid, &status, WNOHANG) == this->pid) {
-    this->exit_code = CodeOf(status);
+    this->exit_code = ExitCode(status);
     this->pid = -1;
   }
   return this->pid > 0;
--- a/tests/process/fleet_fixture.cc
+++ b/tests/process/fleet_fixture.cc
@@ -45,7 +45,7 @@
   }
   this->caller.Call("POST", this->PlatformUrl("/control/hosts"),
                     nlohmann::json({{"hosts", hosts}}).dump());
-  this->PutFleet();
+  this->WriteFleet();
 }
 
 std::uint16_t FleetFixture::PortOf(const std::string& name) const {
@@ -65,8 +65,9 @@
       std::string(LIMPETLINK_BIN) + "/" + program, std::move(arguments), log);
 }
 
-void FleetFixture::WaitForAnswer(const std::string& url) {
-  REQUIRE(Until([&] { return this->caller.Call("GET", url).status == 200; }));
+void FleetFixture::WaitForOk(const std::string& url) {
+  REQUIRE(
+      WaitUntil([&] { return this->caller.Call("GET", url).status == 200; }));
 }
 
 void FleetFixture::StartPlacement(int number) {
@@ -81,7 +82,7 @@
   this->platform =
       this->Start("limpet-fake-platform", "platform",
                   {"--listen", Loopback(this->PortOf("platform"))});
-  this->WaitForAnswer(this->PlatformUrl("/v1/hosts"));
+  this->WaitForOk(this->PlatformUrl("/v1/hosts"));
 }
 
 void FleetFixture::StartEngine(int number) {
@@ -89,13 +90,13 @@
   this->engines[number] =
       this->Start("limpet-fake-engine", name,
                   {"--listen", Loopback(this->PortOf(name)), "--step-ms", "5"});
-  this->WaitForAnswer(this->EngineUrl(number, "/v1/load"));
+  this->WaitForOk(this->EngineUrl(number, "/v1/load"));
 }
 
 void FleetFixture::StartService() {
   this->service = this->Start("limpet-fake-service", "service",
                               {"--listen", Loopback(this->PortOf("service"))});
-  this->WaitForAnswer(this->ServiceUrl("/v1/load"));
+  this->WaitForOk(this->ServiceUrl("/v1/load"));
 }
 
 void FleetFixture::StartEntry(int number) {
@@ -107,11 +108,11 @@
        Loopback(this->PortOf(name + "-peer")), "--peer-secret", kSecret,
        "--resume-secret", kSecret, "--platform", this->PlatformUrl(""),
        "--fleet", "demo", "--seed", std::to_string(number)});
-  this->WaitForAnswer(this->EntryUrl(number, "/readyz"));
+  this->WaitForOk(this->EntryUrl(number, "/readyz"));
 }
 
-void FleetFixture::PutFleet() {
-  const Answer put =
+void FleetFixture::WriteFleet() {
+  const TestResponse put =
       this->caller.Call("PUT", this->PlatformUrl("/v1/objects/fleet/demo"),
                         this->document.dump());
   REQUIRE((put.status == 200 || put.status == 201));
@@ -132,23 +133,24 @@
   return "http://" + Loopback(this->PortOf("platform")) + path;
 }
 
-CallId FleetFixture::BeginStream(int entry, int tokens, Headers more) {
+CallId FleetFixture::StartStream(int entry, int tokens, Headers extra) {
   const nlohmann::json body = {{"model", "tasting-model"},
                                {"prompt", "tokens=" + std::to_string(tokens)},
                                {"max_tokens", tokens},
                                {"stream", true}};
-  return this->caller.Begin("POST", this->EntryUrl(entry, "/v1/completions"),
-                            body.dump(), WithKey(std::move(more)));
+  return this->caller.StartCall("POST",
+                                this->EntryUrl(entry, "/v1/completions"),
+                                body.dump(), WithApiKey(std::move(extra)));
 }
 
-Headers FleetFixture::WithKey(Headers more) {
-  more.push_back({"Authorization", "Bearer demo-key"});
-  return more;
+Headers FleetFixture::WithApiKey(Headers extra) {
+  extra.push_back({"Authorization", "Bearer demo-key"});
+  return extra;
 }
 
-bool FleetFixture::Until(const std::function<bool()>& condition) {
+bool FleetFixture::WaitUntil(const std::function<bool()>& condition) {
   constexpr std::chrono::milliseconds kPause{10};
-  const auto end = std::chrono::steady_clock::now() + kPatience;
+  const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
   while (!condition()) {
     if (std::chrono::steady_clock::now() > end) {
       return false;
@@ -158,10 +160,10 @@
   return true;
 }
 
-std::map<std::string, nlohmann::json> FleetFixture::Generations() {
+std::map<std::string, nlohmann::json> FleetFixture::CollectGenerations() {
   std::map<std::string, nlohmann::json> all;
   for (int number = 1; number <= kEngines; ++number) {
-    const Answer record =
+    const TestResponse record =
         this->caller.Call("GET", this->EngineUrl(number, "/control/record"));
     for (const nlohmann::json& generation :
          record.Json().value("generations", nlohmann::json::array())) {
--- a/tests/process/fleet_fixture.h
+++ b/tests/process/fleet_fixture.h
@@ -18,10 +18,10 @@
 namespace limpetlink::testing {
 
 /// @brief Longest time that a condition is waited for before a test fails.
-inline constexpr std::chrono::seconds kPatience{60};
+inline constexpr std::chrono::seconds kWaitTimeout{60};
 
 /// @brief What came of one HTTP call.
-struct Answer {
+struct TestResponse {
   HttpEnd end = HttpEnd::kComplete;
   int status = 0;
   Headers headers;
@@ -32,17 +32,17 @@
 };
 
 /// @brief One server-sent event.
-struct SentEvent {
+struct ServerSentEvent {
   std::string id;
   std::string event;
   std::string data;
 };
 
 /// @brief Splits a stream's body into its events; comments are left out.
-std::vector<SentEvent> ParseEvents(const std::string& body);
+std::vector<ServerSentEvent> ParseEvents(const std::string& body);
 
 /// @brief Joins the texts of a completion stream's events.
-std::string JoinTexts(const std::vector<SentEvent>& events);
+std::string JoinTexts(const std::vector<ServerSentEvent>& events);
 
 /// @brief Makes HTTP calls and keeps what comes of each while it comes.
 class TestCaller {
@@ -50,29 +50,29 @@
   TestCaller();
 
   /// @brief Begins a call.
-  CallId Begin(const std::string& method, const std::string& url,
-               const std::string& body = "", Headers headers = {});
+  CallId StartCall(const std::string& method, const std::string& url,
+                   const std::string& body = "", Headers headers = {});
 
   /// @brief Waits for a call's end.
-  Answer Finish(CallId id);
+  TestResponse WaitForEnd(CallId id);
 
   /// @brief Waits until the answer so far holds a text.
   bool WaitForBody(CallId id, const std::string& text);
 
   /// @brief Makes a whole call.
-  Answer Call(const std::string& method, const std::string& url,
-              const std::string& body = "", Headers headers = {});
+  TestResponse Call(const std::string& method, const std::string& url,
+                    const std::string& body = "", Headers headers = {});
 
   /// @brief Cancels a call.
   void Cancel(CallId id);
 
  private:
   struct Progress {
-    Answer answer;
+    TestResponse response;
     bool ended = false;
   };
 
-  void Take(const Event& event);
+  void HandleEvent(const Event& event);
 
   std::mutex mutex;
   std::condition_variable changed;
@@ -103,7 +103,7 @@
   void StartService();
 
   /// @brief Puts the fleet document as it stands in `document`.
-  void PutFleet();
+  void WriteFleet();
 
   /// @return URLs of the processes
   std::string EntryUrl(int number, const std::string& path) const;
@@ -112,16 +112,16 @@
   std::string PlatformUrl(const std::string& path) const;
 
   /// @brief Begins a streamed completion at an entry host.
-  CallId BeginStream(int entry, int tokens, Headers more = {});
+  CallId StartStream(int entry, int tokens, Headers extra = {});
 
   /// @return headers with the organisation's key
-  static Headers WithKey(Headers more = {});
+  static Headers WithApiKey(Headers extra = {});
 
   /// @brief Waits until a condition holds; a test fails otherwise.
-  static bool Until(const std::function<bool()>& condition);
+  static bool WaitUntil(const std::function<bool()>& condition);
 
   /// @return all tokens that any engine was told to make, by generation
-  std::map<std::string, nlohmann::json> Generations();
+  std::map<std::string, nlohmann::json> CollectGenerations();
 
   TestCaller caller;
   nlohmann::json document;
@@ -135,7 +135,7 @@
   std::unique_ptr<ChildProcess> Start(const std::string& program,
                                       const std::string& name,
                                       std::vector<std::string> arguments) const;
-  void WaitForAnswer(const std::string& url);
+  void WaitForOk(const std::string& url);
   std::uint16_t PortOf(const std::string& name) const;
 
   mutable std::map<std::string, std::uint16_t> ports;
--- a/tests/process/path_test.cc
+++ b/tests/process/path_test.cc
@@ -13,13 +13,13 @@
 
   /// The only generation that was run, and its whole text.
   std::string OnlyGeneration() {
-    const auto all = this->Generations();
+    const auto all = this->CollectGenerations();
     REQUIRE(all.size() == 1);
     return all.begin()->first;
   }
 
-  static std::string TextOf(const std::string& generation,
-                            std::uint64_t tokens) {
+  static std::string ExpectedText(const std::string& generation,
+                                  std::uint64_t tokens) {
     std::string text;
     for (std::uint64_t offset = 0; offset < tokens; ++offset) {
       text += TokenText(generation, offset);
@@ -32,52 +32,54 @@
         .Json()["executions"];
   }
 
-  void CheckProblem(const Answer& answer, int status, const std::string& code) {
-    CHECK(answer.status == status);
-    CHECK(answer.Json().value("code", "") == code);
-    CHECK(answer.Json().value("outcome", "") == "not_run");
+  void CheckProblem(const TestResponse& response, int status,
+                    const std::string& code) {
+    CHECK(response.status == status);
+    CHECK(response.Json().value("code", "") == code);
+    CHECK(response.Json().value("outcome", "") == "not_run");
   }
 
   static std::string CodeText(ErrorCode code) {
     return std::string(Describe(code).name);
   }
 
-  Answer Complete(const std::string& body, Headers headers) {
+  TestResponse SendCompletion(const std::string& body, Headers headers) {
     return this->caller.Call("POST", this->EntryUrl(1, "/v1/completions"), body,
                              std::move(headers));
   }
 };
 
-const std::string kGoodBody =
+const std::string kValidBody =
     R"({"model":"tasting-model","prompt":"tokens=3","max_tokens":3})";
 
 }  // namespace
 
 TEST_CASE_METHOD(PathFixture,
                  "a stream, whole path, each token comes once and in order") {
-  const Answer answer = this->caller.Finish(this->BeginStream(1, 200));
-  CHECK(answer.status == 200);
-  CHECK(answer.end == HttpEnd::kComplete);
-  CHECK(JoinTexts(ParseEvents(answer.body)) ==
-        TextOf(this->OnlyGeneration(), 200));
+  const TestResponse response =
+      this->caller.WaitForEnd(this->StartStream(1, 200));
+  CHECK(response.status == 200);
+  CHECK(response.end == HttpEnd::kComplete);
+  CHECK(JoinTexts(ParseEvents(response.body)) ==
+        ExpectedText(this->OnlyGeneration(), 200));
 }
 
 TEST_CASE_METHOD(PathFixture,
                  "a lookup, whole path, the service's answer comes back") {
-  const Answer answer = this->caller.Call(
+  const TestResponse response = this->caller.Call(
       "GET", this->EntryUrl(1, "/v1/services/trial-bench/recipes/7"), "",
-      WithKey());
-  CHECK(answer.status == 200);
-  CHECK(answer.Json().value("path", "") == "/recipes/7");
+      WithApiKey());
+  CHECK(response.status == 200);
+  CHECK(response.Json().value("path", "") == "/recipes/7");
 }
 
 TEST_CASE_METHOD(PathFixture,
                  "an order, sent twice with one key, it runs once") {
   const std::string url = this->EntryUrl(1, "/v1/services/trial-bench/dosing");
-  const Headers headers = WithKey({{"Idempotency-Key", "order-1"}});
-  const Answer first =
+  const Headers headers = WithApiKey({{"Idempotency-Key", "order-1"}});
+  const TestResponse first =
       this->caller.Call("POST", url, R"({"id":"order-1"})", headers);
-  const Answer second =
+  const TestResponse second =
       this->caller.Call("POST", url, R"({"id":"order-1"})", headers);
   CHECK(first.status == 200);
   CHECK(second.status == 200);
@@ -88,37 +90,41 @@
 TEST_CASE_METHOD(PathFixture,
                  "a request at fault, each kind, a clear problem is told") {
   const std::string services = this->EntryUrl(1, "/v1/services/");
-  CheckProblem(this->Complete(kGoodBody, {}), 401,
+  CheckProblem(this->SendCompletion(kValidBody, {}), 401,
                CodeText(ErrorCode::kRequestNoKey));
-  CheckProblem(this->Complete(kGoodBody, {{"Authorization", "Bearer wrong"}}),
-               Describe(ErrorCode::kRequestWrongKey).http_status,
-               CodeText(ErrorCode::kRequestWrongKey));
-  CheckProblem(this->Complete(R"({"model":"none","prompt":"x"})", WithKey()),
-               404, CodeText(ErrorCode::kRequestUnknownModel));
-  CheckProblem(this->Complete("{", WithKey()), 400,
+  CheckProblem(
+      this->SendCompletion(kValidBody, {{"Authorization", "Bearer wrong"}}),
+      Describe(ErrorCode::kRequestWrongKey).http_status,
+      CodeText(ErrorCode::kRequestWrongKey));
+  CheckProblem(
+      this->SendCompletion(R"({"model":"none","prompt":"x"})", WithApiKey()),
+      404, CodeText(ErrorCode::kRequestUnknownModel));
+  CheckProblem(this->SendCompletion("{", WithApiKey()), 400,
                CodeText(ErrorCode::kRequestMalformed));
-  CheckProblem(this->Complete(std::string(2U << 20U, 'x'), WithKey()), 413,
-               CodeText(ErrorCode::kRequestTooLarge));
-  CheckProblem(this->Complete(kGoodBody, WithKey({{"X-Route", "none"}})),
-               Describe(ErrorCode::kRequestUnknownRoute).http_status,
-               CodeText(ErrorCode::kRequestUnknownRoute));
-  CheckProblem(this->caller.Call("GET", services + "none/x", "", WithKey()),
+  CheckProblem(this->SendCompletion(std::string(2U << 20U, 'x'), WithApiKey()),
+               413, CodeText(ErrorCode::kRequestTooLarge));
+  CheckProblem(
+      this->SendCompletion(kValidBody, WithApiKey({{"X-Route", "none"}})),
+      Describe(ErrorCode::kRequestUnknownRoute).http_status,
+      CodeText(ErrorCode::kRequestUnknownRoute));
+  CheckProblem(this->caller.Call("GET", services + "none/x", "", WithApiKey()),
                404, CodeText(ErrorCode::kRequestUnknownService));
-  CheckProblem(this->Complete(kGoodBody, WithKey({{"Prefer", "wait=0"}})),
-               Describe(ErrorCode::kRequestDeadlinePast).http_status,
-               CodeText(ErrorCode::kRequestDeadlinePast));
-  CHECK(this->Generations().empty());
+  CheckProblem(
+      this->SendCompletion(kValidBody, WithApiKey({{"Prefer", "wait=0"}})),
+      Describe(ErrorCode::kRequestDeadlinePast).http_status,
+      CodeText(ErrorCode::kRequestDeadlinePast));
+  CHECK(this->CollectGenerations().empty());
 }
 
 TEST_CASE_METHOD(PathFixture,
                  "SIGTERM with an open stream, the stream ends whole, exit 0") {
-  const CallId id = this->BeginStream(1, 300);
+  const CallId id = this->StartStream(1, 300);
   REQUIRE(this->caller.WaitForBody(id, "data: "));
   this->entries[1]->Signal(SIGTERM);
-  const Answer answer = this->caller.Finish(id);
-  CHECK(answer.end == HttpEnd::kComplete);
-  CHECK(JoinTexts(ParseEvents(answer.body)) ==
-        TextOf(this->OnlyGeneration(), 300));
+  const TestResponse response = this->caller.WaitForEnd(id);
+  CHECK(response.end == HttpEnd::kComplete);
+  CHECK(JoinTexts(ParseEvents(response.body)) ==
+        ExpectedText(this->OnlyGeneration(), 300));
   CHECK(this->entries[1]->Wait() == 0);
 }
 
@@ -128,10 +134,10 @@
   this->caller.Call("POST", this->ServiceUrl("/control/faults"),
                     R"({"fault":"cut_after","times":1})");
   const std::string url = this->EntryUrl(1, "/v1/services/trial-bench/dosing");
-  const Headers headers = WithKey({{"Idempotency-Key", "order-2"}});
-  const Answer first =
+  const Headers headers = WithApiKey({{"Idempotency-Key", "order-2"}});
+  const TestResponse first =
       this->caller.Call("POST", url, R"({"id":"order-2"})", headers);
-  const Answer second =
+  const TestResponse second =
       this->caller.Call("POST", url, R"({"id":"order-2"})", headers);
   CHECK(first.Json().value("outcome", "") == "unknown");
   CHECK(second.Json().value("outcome", "") == "unknown");
@@ -141,18 +147,18 @@
 TEST_CASE_METHOD(PathFixture,
                  "an entry host killed in a stream, another resumes it whole") {
   this->StartEntry(2);
-  const CallId id = this->BeginStream(1, 300);
+  const CallId id = this->StartStream(1, 300);
   REQUIRE(this->caller.WaitForBody(id, "data: "));
   this->entries[1]->Kill();
-  const std::vector<SentEvent> begun =
-      ParseEvents(this->caller.Finish(id).body);
-  REQUIRE_FALSE(begun.empty());
-  const CallId again =
-      this->BeginStream(2, 300, {{"Last-Event-ID", begun.back().id}});
-  const Answer rest = this->caller.Finish(again);
+  const std::vector<ServerSentEvent> received =
+      ParseEvents(this->caller.WaitForEnd(id).body);
+  REQUIRE_FALSE(received.empty());
+  const CallId resumed =
+      this->StartStream(2, 300, {{"Last-Event-ID", received.back().id}});
+  const TestResponse rest = this->caller.WaitForEnd(resumed);
   CHECK(rest.end == HttpEnd::kComplete);
-  CHECK(JoinTexts(begun) + JoinTexts(ParseEvents(rest.body)) ==
-        TextOf(this->OnlyGeneration(), 300));
+  CHECK(JoinTexts(received) + JoinTexts(ParseEvents(rest.body)) ==
+        ExpectedText(this->OnlyGeneration(), 300));
 }
 
 }  // namespace limpetlink::testing
--- a/tests/process/placement_test.cc
+++ b/tests/process/placement_test.cc
@@ -13,20 +13,20 @@
     this->StartPlacement(2);
   }
 
-  void WantVersion(const std::string& version) {
+  void SetDesiredVersion(const std::string& version) {
     for (nlohmann::json& model : this->document["models"]) {
       model["version"] = version;
     }
-    this->PutFleet();
+    this->WriteFleet();
   }
 
-  nlohmann::json Load(int engine) {
+  nlohmann::json LoadReport(int engine) {
     return this->caller.Call("GET", this->EngineUrl(engine, "/v1/load")).Json();
   }
 
-  bool AllServe(const std::string& version) {
+  bool AllEnginesServe(const std::string& version) {
     for (int engine = 1; engine <= kEngines; ++engine) {
-      if (this->Load(engine).value("version", "") != version) {
+      if (this->LoadReport(engine).value("version", "") != version) {
         return false;
       }
     }
@@ -34,7 +34,7 @@
   }
 
   /// The number of the placement host that holds the lease; 0 without one.
-  int Holder() {
+  int LeaseHolder() {
     const std::string lease =
         this->caller
             .Call("GET", this->PlatformUrl("/v1/objects/lease/placement"))
@@ -54,39 +54,39 @@
 TEST_CASE_METHOD(
     PlacementFixture,
     "engine orders, a new version is wanted, bring every engine to it") {
-  this->WantVersion("next");
-  CHECK(Until([this] { return this->AllServe("next"); }));
+  this->SetDesiredVersion("next");
+  CHECK(WaitUntil([this] { return this->AllEnginesServe("next"); }));
 }
 
 TEST_CASE_METHOD(
     PlacementFixture,
     "engine orders, the holder dies, the other goes on with a higher number") {
-  this->WantVersion("next");
-  REQUIRE(Until([this] { return this->AllServe("next"); }));
-  const std::uint64_t fence = this->Load(1)["fence"];
-  const int holder = this->Holder();
+  this->SetDesiredVersion("next");
+  REQUIRE(WaitUntil([this] { return this->AllEnginesServe("next"); }));
+  const std::uint64_t fence = this->LoadReport(1)["fence"];
+  const int holder = this->LeaseHolder();
   REQUIRE(holder != 0);
   this->placements.at(holder)->Signal(SIGKILL);
-  this->WantVersion("newest");
-  CHECK(Until([this] { return this->AllServe("newest"); }));
-  CHECK(this->Load(1)["fence"].get<std::uint64_t>() > fence);
+  this->SetDesiredVersion("newest");
+  CHECK(WaitUntil([this] { return this->AllEnginesServe("newest"); }));
+  CHECK(this->LoadReport(1)["fence"].get<std::uint64_t>() > fence);
 }
 
 TEST_CASE_METHOD(
     PlacementFixture,
     "engine orders, the holder is paused and wakes, harm no later state") {
-  this->WantVersion("next");
-  REQUIRE(Until([this] { return this->AllServe("next"); }));
-  const int holder = this->Holder();
+  this->SetDesiredVersion("next");
+  REQUIRE(WaitUntil([this] { return this->AllEnginesServe("next"); }));
+  const int holder = this->LeaseHolder();
   REQUIRE(holder != 0);
   this->placements.at(holder)->Signal(SIGSTOP);
-  this->WantVersion("newest");
-  REQUIRE(Until([this] { return this->AllServe("newest"); }));
-  const std::uint64_t fence = this->Load(1)["fence"];
+  this->SetDesiredVersion("newest");
+  REQUIRE(WaitUntil([this] { return this->AllEnginesServe("newest"); }));
+  const std::uint64_t fence = this->LoadReport(1)["fence"];
   this->placements.at(holder)->Signal(SIGCONT);
-  this->WantVersion("last");
-  CHECK(Until([this] { return this->AllServe("last"); }));
-  CHECK(this->Load(1)["fence"].get<std::uint64_t>() >= fence);
+  this->SetDesiredVersion("last");
+  CHECK(WaitUntil([this] { return this->AllEnginesServe("last"); }));
+  CHECK(this->LoadReport(1)["fence"].get<std::uint64_t>() >= fence);
 }
 
 }  // namespace limpetlink::testing
--- a/tests/process/test_caller.cc
+++ b/tests/process/test_caller.cc
@@ -5,14 +5,14 @@
 
 namespace limpetlink::testing {
 
-nlohmann::json Answer::Json() const {
+nlohmann::json TestResponse::Json() const {
   nlohmann::json value = nlohmann::json::parse(this->body, nullptr, false);
   return value.is_object() ? value : nlohmann::json::object();
 }
 
-std::vector<SentEvent> ParseEvents(const std::string& body) {
-  std::vector<SentEvent> events;
-  SentEvent event;
+std::vector<ServerSentEvent> ParseEvents(const std::string& body) {
+  std::vector<ServerSentEvent> events;
+  ServerSentEvent event;
   std::istringstream lines(body);
   for (std::string line; std::getline(lines, line);) {
     const std::size_t colon = line.find(": ");
@@ -23,7 +23,7 @@
       if (!event.data.empty()) {
         events.push_back(event);
       }
-      event = SentEvent{};
+      event = ServerSentEvent{};
     } else if (field == "id") {
       event.id = value;
     } else if (field == "event") {
@@ -35,9 +35,9 @@
   return events;
 }
 
-std::string JoinTexts(const std::vector<SentEvent>& events) {
+std::string JoinTexts(const std::vector<ServerSentEvent>& events) {
   std::string text;
-  for (const SentEvent& event : events) {
+  for (const ServerSentEvent& event : events) {
     const nlohmann::json data =
         nlohmann::json::parse(event.data, nullptr, false);
     if (data.is_object() && data.contains("choices")) {
@@ -49,26 +49,26 @@
 
 TestCaller::TestCaller()
     : client(HttpClientSettings{},
-             [this](const Event& event) { this->Take(event); }) {
+             [this](const Event& event) { this->HandleEvent(event); }) {
   this->client.Start();
 }
 
-void TestCaller::Take(const Event& event) {
+void TestCaller::HandleEvent(const Event& event) {
   const std::lock_guard<std::mutex> lock(this->mutex);
   if (const auto* const head = std::get_if<HttpHead>(&event)) {
-    this->calls[head->id].answer.status = head->status;
-    this->calls[head->id].answer.headers = head->headers;
+    this->calls[head->id].response.status = head->status;
+    this->calls[head->id].response.headers = head->headers;
   } else if (const auto* const chunk = std::get_if<HttpChunk>(&event)) {
-    this->calls[chunk->id].answer.body += chunk->bytes;
+    this->calls[chunk->id].response.body += chunk->bytes;
   } else if (const auto* const done = std::get_if<HttpDone>(&event)) {
-    this->calls[done->id].answer.end = done->end;
+    this->calls[done->id].response.end = done->end;
     this->calls[done->id].ended = true;
   }
   this->changed.notify_all();
 }
 
-CallId TestCaller::Begin(const std::string& method, const std::string& url,
-                         const std::string& body, Headers headers) {
+CallId TestCaller::StartCall(const std::string& method, const std::string& url,
+                             const std::string& body, Headers headers) {
   HttpCall call;
   {
     const std::lock_guard<std::mutex> lock(this->mutex);
@@ -85,24 +85,25 @@
   return id;
 }
 
-Answer TestCaller::Finish(CallId id) {
+TestResponse TestCaller::WaitForEnd(CallId id) {
   std::unique_lock<std::mutex> lock(this->mutex);
   const bool ended = this->changed.wait_for(
-      lock, kPatience, [&] { return this->calls[id].ended; });
+      lock, kWaitTimeout, [&] { return this->calls[id].ended; });
   REQUIRE(ended);
-  return this->calls[id].answer;
+  return this->calls[id].response;
 }
 
 bool TestCaller::WaitForBody(CallId id, const std::string& text) {
   std::unique_lock<std::mutex> lock(this->mutex);
-  return this->changed.wait_for(lock, kPatience, [&] {
-    return this->calls[id].answer.body.find(text) != std::string::npos;
+  return this->changed.wait_for(lock, kWaitTimeout, [&] {
+    return this->calls[id].response.body.find(text) != std::string::npos;
   });
 }
 
-Answer TestCaller::Call(const std::string& method, const std::string& url,
-                        const std::string& body, Headers headers) {
-  return this->Finish(this->Begin(method, url, body, std::move(headers)));
+TestResponse TestCaller::Call(const std::string& method, const std::string& url,
+                              const std::string& body, Headers headers) {
+  return this->WaitForEnd(
+      this->StartCall(method, url, body, std::move(headers)));
 }
 
 void TestCaller::Cancel(CallId id) {
