--- a/tests/core/engine_fake.h
+++ b/tests/core/engine_fake.h
@@ -1,5 +1,6 @@
 /// @file
-/// @brief A model engine in virtual time: streams tokens, resumes and cancels.
+/// @brief Fake model engine in virtual time that streams, resumes and cancels
+/// generations.
 #pragma once
 
 #include <cstdint>
@@ -10,32 +11,36 @@
 
 namespace limpetlink::testing {
 
-/// @brief Text of a token; says which generation and offset it belongs to.
+/// @brief Returns the text of a token, which encodes its generation and offset.
 std::string TokenText(const std::string& generation, std::uint64_t offset);
 
-/// @brief Runs generations of a fixed length at a fixed pace and keeps them for
-/// resumes.
+/// @brief Fake engine that generates one token every 10 ms and retains its
+/// generations so that they can be resumed.
 class EngineFake {
  public:
-  /// @param name server name, also the upstream's id
-  /// @param tokens length of every generation
+  /// @param network network that the engine is a server of
+  /// @param timeline virtual clock that schedules the tokens
+  /// @param name address of the engine in the network, host:port
+  /// @param tokens number of tokens of every generation
   EngineFake(Network& network, Timeline& timeline, std::string name,
              std::uint64_t tokens);
 
-  /// @brief The process dies: connections are cut and refused, generations are
-  /// lost.
+  /// @brief Terminates the process: open connections break, new ones are
+  /// refused, and all generations are lost.
   void Kill();
 
-  /// @brief Refuses new generations as not run and says so in its report.
+  /// @brief Rejects new generations with `not_run` and reports itself as
+  /// draining.
   void Drain();
 
-  /// @brief Says in its report that it drains, and takes new work all the same.
+  /// @brief Sets the draining flag of the load report; new generations are
+  /// still accepted.
   void ReportDraining(bool on) { this->reports_draining = on; }
 
-  /// @return generations accepted since the start
+  /// @return number of generations accepted since the construction
   std::uint64_t AcceptedCount() const { return this->accepted; }
 
-  /// @return when the last generation was accepted
+  /// @return time at which the last generation was accepted
   Instant LastAcceptedAt() const { return this->last_accepted; }
 
  private:
@@ -43,7 +48,7 @@
     std::uint64_t produced = 0;
     bool cancelled = false;
     std::map<ExchangeId, std::uint64_t>
-        readers;  ///< and the offset each has next
+        readers;  ///< next token offset by reader
   };
 
   void OnRequest(ExchangeId id, const HttpCall& call);
@@ -59,7 +64,7 @@
   std::string name;
   std::uint64_t tokens;
   std::uint64_t incarnation =
-      0;  ///< rises at each death, so that old work stops
+      0;  ///< rises with each Kill, which cancels pending tasks
   bool draining = false;
   bool reports_draining = false;
   std::uint64_t accepted = 0;
--- a/tests/core/fault_matrix.cc
+++ b/tests/core/fault_matrix.cc
@@ -48,7 +48,7 @@
   return request;
 }
 
-/// One run while it goes on.
+/// Executes one run of the matrix.
 class MatrixRunner {
  public:
   explicit MatrixRunner(const MatrixRun& matrix_run)
@@ -133,8 +133,8 @@
     }
   }
 
-  /// Faults strike between two events, since a step may be in the middle of
-  /// one.
+  /// Defers the fault to the next event, since a step may occur while an event
+  /// is being handled.
   void ScheduleFault(Fault fault) {
     this->simulation.timeline.Schedule(
         Duration(0), [this, fault] { this->InjectFault(fault); });
@@ -222,7 +222,7 @@
     this->ScheduleRecovery([this] { this->simulation.ThawHost(kServingHost); });
   }
 
-  /// What a caller or operator does once the faults are over.
+  /// Retries an order or resumes a stream after the faults have ended.
   void RunFollowUps() {
     if (this->run.activity == Activity::kOrder ||
         this->run.activity == Activity::kShutdown) {
@@ -237,7 +237,7 @@
     }
   }
 
-  /// A caller whose host died goes on at another one.
+  /// Resumes an aborted stream at the other host.
   void ResumeStream() {
     const CallerLog interrupted = this->simulation.callers[0];
     const StreamContent content = ReadStream(interrupted.body);
@@ -275,7 +275,8 @@
     this->CheckCompletionSucceeds();
   }
 
-  /// After all faults are over every living host has the newest document.
+  /// Checks that every running host has applied the newest document after all
+  /// faults have ended.
   void CheckVersions() {
     const std::uint64_t newest =
         this->simulation.platform.VersionOf("fleet/fleet");
@@ -289,8 +290,8 @@
     }
   }
 
-  /// Faults that leave an engine and the caller's host alone must not cost the
-  /// answer.
+  /// Checks that a completion succeeds if no fault affected the caller's host,
+  /// since an engine was available.
   void CheckCompletionSucceeds() {
     const bool must_succeed = this->MustNotFailCompletions(this->run.first) &&
                               this->MustNotFailCompletions(this->run.second);
--- a/tests/core/fault_matrix.h
+++ b/tests/core/fault_matrix.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief The core's fault matrix: every fault at every step of every activity,
-/// in virtual time.
+/// @brief Fault matrix of the entry host core: injects every fault at every
+/// step of every activity, in virtual time.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace limpetlink::testing {
 
-/// @brief What fails.
+/// @brief Fault to inject.
 enum class Fault {
   kNone,
   kEngineDies,
@@ -27,7 +27,7 @@
   kHostLeaves,
 };
 
-/// @brief What goes on while it fails.
+/// @brief Activity during which a fault is injected.
 enum class Activity {
   kStream,
   kCompleteResponse,
@@ -73,29 +73,30 @@
 
 namespace limpetlink::testing {
 
-/// @brief One run: two faults at two steps of an activity; kNone for fewer.
+/// @brief Parameters of one run: up to two faults, each at a step of an
+/// activity; unused faults are kNone.
 struct MatrixRun {
   Activity activity = Activity::kStream;
   Fault first = Fault::kNone;
-  std::uint64_t first_step = 0;  ///< counted from the activity's start
+  std::uint64_t first_step = 0;  ///< from 1, counted from the activity's start
   Fault second = Fault::kNone;
   std::uint64_t second_step = 0;
   std::uint64_t seed = 1;
 };
 
-/// @brief What a run showed.
+/// @brief Result of one run.
 struct MatrixRunResult {
-  std::uint64_t steps = 0;  ///< of the activity, until it was over
+  std::uint64_t steps = 0;  ///< steps until the activity finished
   std::vector<std::string>
-      violations;  ///< broken promises; empty when it passed
+      violations;  ///< violated guarantees; empty if the run passed
 };
 
-/// @brief Carries out one run and checks every promise.
-/// @note Deterministic: equal runs give equal results.
+/// @brief Executes one run and checks every guarantee.
+/// @note Deterministic: equal parameters give equal results.
 MatrixRunResult Execute(const MatrixRun& run);
 
-/// @brief One cell of the table: a fault put at each step of an activity in
-/// turn.
+/// @brief Result of one cell of the matrix: all runs of one fault during one
+/// activity.
 struct MatrixCellResult {
   Fault fault = Fault::kNone;
   Activity activity = Activity::kStream;
@@ -105,11 +106,14 @@
   std::string first_violation;
 };
 
-/// @brief Puts a fault at every step of an activity, for each seed.
+/// @brief Injects a fault at every step of an activity, one step a run.
+/// @param seeds number of seeds to repeat this with
 MatrixCellResult ExecuteCell(Fault fault, Activity activity,
                              std::uint64_t seeds);
 
-/// @brief Puts seeded pairs of faults at seeded steps of an activity.
+/// @brief Injects a fault and a random second one at random steps of an
+/// activity.
+/// @param runs number of runs
 MatrixCellResult ExecutePairs(Fault fault, Activity activity,
                               std::uint64_t runs);
 
--- a/tests/core/fault_matrix_main.cc
+++ b/tests/core/fault_matrix_main.cc
@@ -1,4 +1,5 @@
-// Runs the core's fault matrix, prints it as a table and writes it as JSON.
+// Runs the fault matrix of the entry host core, prints a table and optionally
+// writes the results as JSON.
 #include <cxxopts.hpp>
 #include <fstream>
 #include <iostream>
--- a/tests/core/fault_matrix_test.cc
+++ b/tests/core/fault_matrix_test.cc
@@ -18,7 +18,8 @@
   CHECK(cell.failed == 0);
 }
 
-/// Puts the fault at every step of every activity, alone and with a second one.
+/// Injects the fault at every step of every activity, alone and with a second
+/// fault.
 void CheckFault(Fault fault) {
   for (const auto& activity : EnumTable<Activity>::kRows) {
     CheckCell(ExecuteCell(fault, activity.value, kSeeds));
--- a/tests/core/history_check.cc
+++ b/tests/core/history_check.cc
@@ -22,7 +22,7 @@
                                  " among those of " + content.generation);
   }
   if (text != TokenText(generation, content.tokens.size())) {
-    content.violations.push_back("token " + text + " at place " +
+    content.violations.push_back("token " + text + " at position " +
                                  std::to_string(content.tokens.size()));
   }
   content.tokens.push_back(text);
@@ -32,7 +32,7 @@
   return log.request.path.find("/orders/orders") != std::string::npos;
 }
 
-/// Whether an order ran before its caller could send it again.
+/// Returns whether an order was executed before its next attempt was sent.
 bool RanBeforeNextAttempt(const FleetSimulation& simulation,
                           const CallerLog& response) {
   Instant next_attempt = kNever;
@@ -67,7 +67,7 @@
   SseDecoder decoder{SseLimits{}};
   const auto events = decoder.Feed(body);
   if (!events.ok()) {
-    content.violations.emplace_back("the stream is not readable");
+    content.violations.emplace_back("the stream is not valid SSE");
     return content;
   }
   for (const SseEvent& event : *events) {
@@ -96,13 +96,13 @@
   }
   StreamContent content = ReadStream(log.body);
   if (content.done && content.tokens.size() != tokens) {
-    content.violations.push_back("a stream said to be whole has " +
+    content.violations.push_back("a stream marked as complete has " +
                                  std::to_string(content.tokens.size()) +
                                  " tokens");
   }
   if (log.ended && !log.aborted && !content.done && content.error.empty()) {
     content.violations.emplace_back(
-        "a stream ended with neither its end nor an error");
+        "a stream ended with neither an end event nor an error");
   }
   return content.violations;
 }
@@ -135,7 +135,7 @@
     }
     if (outcome == "not_run" && RanBeforeNextAttempt(simulation, log)) {
       violations.push_back("order " + log.request.body +
-                           " was told not_run and ran");
+                           " was reported as not_run but was executed");
     }
   }
   return violations;
@@ -148,7 +148,7 @@
     const CallerLog& log = simulation.callers[i];
     if (!simulation.IsFinished(i)) {
       violations.push_back("caller " + std::to_string(i) +
-                           " was left without an answer");
+                           " received no response");
     } else if (log.ended_at > log.deadline + slack) {
       violations.push_back("caller " + std::to_string(i) +
                            " was answered after its deadline");
--- a/tests/core/history_check_test.cc
+++ b/tests/core/history_check_test.cc
@@ -23,7 +23,7 @@
   return log;
 }
 
-/// Answers and runs that a broken host would leave behind.
+/// Records the responses and executions that a defective host would cause.
 class HistoryFixture {
  protected:
   HistoryFixture() : simulation(FleetSimulationOptions{}) {}
@@ -53,7 +53,7 @@
   FleetSimulation simulation;
 };
 
-TEST_CASE("stream check, whole stream of one generation, finds nothing") {
+TEST_CASE("stream check, complete stream of one generation, reports nothing") {
   const std::string body = TokenEvent(TokenText("g", 0)) +
                            TokenEvent(TokenText("g", 1)) +
                            TokenEvent(TokenText("g", 2)) + DoneEvent();
@@ -69,7 +69,7 @@
                     kTokens)
             .empty());
   }
-  SECTION("a token comes twice") {
+  SECTION("a token is duplicated") {
     CHECK_FALSE(CheckStream(StreamLog(TokenEvent(TokenText("g", 0)) +
                                       TokenEvent(TokenText("g", 0))),
                             kTokens)
@@ -81,39 +81,40 @@
                             kTokens)
                     .empty());
   }
-  SECTION("the end comes too early") {
+  SECTION("the end event comes too early") {
     CHECK_FALSE(
         CheckStream(StreamLog(TokenEvent(TokenText("g", 0)) + DoneEvent()),
                     kTokens)
             .empty());
   }
-  SECTION("the stream just stops") {
+  SECTION("the stream ends without an end event") {
     CHECK_FALSE(
         CheckStream(StreamLog(TokenEvent(TokenText("g", 0))), kTokens).empty());
   }
 }
 
-TEST_CASE_METHOD(HistoryFixture,
-                 "order check, one run and its answer, finds nothing") {
+TEST_CASE_METHOD(
+    HistoryFixture,
+    "order check, one execution and its response, reports nothing") {
   this->AddExecution("order", 2);
   this->AddResponse(200, "ran order", 1, 3);
   CHECK(CheckOrders(this->simulation).empty());
 }
 
 TEST_CASE_METHOD(HistoryFixture, "order check, broken rule, finds it") {
-  SECTION("a request is sent again after it ran") {
+  SECTION("a request is executed twice") {
     this->AddExecution("order", 2);
     this->AddExecution("order", 3);
   }
-  SECTION("not_run is told before the run") {
+  SECTION("not_run is returned before the execution") {
     this->AddResponse(503, R"({"outcome":"not_run"})", 1, 2);
     this->AddExecution("order", 3);
   }
-  SECTION("not_run is told after the run") {
+  SECTION("not_run is returned after the execution") {
     this->AddExecution("order", 2);
     this->AddResponse(503, R"({"outcome":"not_run"})", 1, 3);
   }
-  SECTION("an answer is given without a run") {
+  SECTION("a response is returned without an execution") {
     this->AddResponse(200, "ran order", 1, 2);
   }
   CHECK_FALSE(CheckOrders(this->simulation).empty());
@@ -121,7 +122,7 @@
 
 TEST_CASE_METHOD(
     HistoryFixture,
-    "order check, not_run then a run by the next attempt, is allowed") {
+    "order check, not_run then execution by the next attempt, is allowed") {
   this->AddResponse(503, R"({"outcome":"not_run"})", 1, 2);
   this->AddExecution("order", 4);
   this->AddResponse(200, "ran order", 3, 5);
@@ -129,7 +130,7 @@
 }
 
 TEST_CASE_METHOD(HistoryFixture,
-                 "deadline check, late or missing answer, finds it") {
+                 "deadline check, late or missing response, reports it") {
   SECTION("late") {
     this->AddResponse(200, "x", 1, 2);
     this->simulation.callers.back().ended_at = At(9);
--- a/tests/core/leaving_test.cc
+++ b/tests/core/leaving_test.cc
@@ -10,7 +10,7 @@
 constexpr Duration kRequestTimeout = std::chrono::seconds(10);
 constexpr int kProbeRequests = 100;
 
-/// Requests go to both hosts all the time; engine 0 is the one that leaves.
+/// Sends requests to both hosts in turn while engine 0 is leaving.
 class LeavingFixture {
  protected:
   LeavingFixture() : simulation(FleetSimulationOptions{}) {
@@ -48,7 +48,8 @@
     }
   }
 
-  /// Whether the leaving engine is given nothing while requests go on.
+  /// Returns whether the leaving engine accepts nothing during further
+  /// requests.
   bool ReceivesNoNewWork() {
     const std::uint64_t before = this->LeavingEngine().AcceptedCount();
     this->SendRequestsFor(kRequestInterval * kProbeRequests);
@@ -81,16 +82,19 @@
   this->SetListedState("leaving");
   this->LeavingEngine().ReportDraining(true);
   this->SendRequestsFor(kLeavingPropagation);
-  SECTION("the list lags and says live") { this->SetListedState("live"); }
-  SECTION("the report is taken back") {
+  SECTION("the host list is stale and has it as live") {
+    this->SetListedState("live");
+  }
+  SECTION("the engine withdraws its report") {
     this->LeavingEngine().ReportDraining(false);
   }
   this->SendRequestsFor(std::chrono::seconds(10));
   CHECK(this->ReceivesNoNewWork());
 }
 
-TEST_CASE_METHOD(LeavingFixture,
-                 "leaving engine, both sources clear it, is used again") {
+TEST_CASE_METHOD(
+    LeavingFixture,
+    "leaving engine, cleared by both sources, gets new work again") {
   this->SetListedState("leaving");
   this->SendRequestsFor(kLeavingPropagation);
   this->SetListedState("live");
--- a/tests/core/network.cc
+++ b/tests/core/network.cc
@@ -80,7 +80,7 @@
   }
 }
 
-// ---- The calling side ----
+// ---- Client side ----
 
 void Network::StartCall(std::size_t host, const HttpCall& call) {
   const ExchangeId id{++this->last_exchange};
@@ -168,7 +168,7 @@
   }
 }
 
-// ---- The answering side ----
+// ---- Server side ----
 
 void Network::SendHead(ExchangeId id, int status, Headers headers) {
   const auto found = this->exchanges.find(id);
--- a/tests/core/network.h
+++ b/tests/core/network.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief HTTP exchanges in virtual time between entry host cores and the fakes
-/// behind them.
+/// @brief Simulated network that connects entry host cores to fake servers in
+/// virtual time.
 #pragma once
 
 #include <cstdint>
@@ -15,22 +15,25 @@
 
 namespace limpetlink::testing {
 
-/// @brief One HTTP exchange.
+/// @brief Identifies one HTTP exchange.
 using ExchangeId = NumberId<struct ExchangeTag>;
 
-/// @brief Virtual time: runs what is due, in order of time and then of its
-/// making.
+/// @brief Virtual clock with a task queue; tasks run in order of their due time
+/// and, if equal, in the order they were scheduled.
 class Timeline {
  public:
-  /// @return the present
+  /// @return the current virtual time
   Instant Now() const { return this->now; }
 
-  /// @brief Runs something later.
+  /// @brief Schedules a task.
+  /// @param delay virtual time until the task is due
+  /// @param task task to run
   void Schedule(Duration delay, std::function<void()> task);
 
-  /// @brief Runs the next thing that is due.
-  /// @param limit nothing later than this is run
-  /// @return false when there is none by then; the present is then the limit
+  /// @brief Advances the clock to the next task and runs it.
+  /// @param limit latest due time of a task to run
+  /// @return false if no task is due by the limit; the clock is then advanced
+  /// to the limit
   bool RunNext(Instant limit);
 
  private:
@@ -39,67 +42,69 @@
   std::map<std::pair<Instant, std::uint64_t>, std::function<void()>> tasks;
 };
 
-/// @brief A side of an exchange that the network tells about it.
+/// @brief Callbacks of a fake server.
 struct FakeServer {
   std::function<void(ExchangeId, const HttpCall&)> on_request;
-  std::function<void(ExchangeId)> on_closed;  ///< the caller's side went away
+  std::function<void(ExchangeId)> on_closed;  ///< the client closed
 };
 
-/// @brief What becomes of connections to a server.
+/// @brief State of the link to a server.
 enum class LinkState {
   kUp,
-  kRefused,  ///< connections are refused at once
-  kStalled,  ///< bytes wait on the way until the link is up again
+  kRefused,  ///< connections are refused immediately
+  kStalled,  ///< requests and responses are deferred until kUp
 };
 
-/// @brief A moment of an exchange, numbered by the network; faults strike at
-/// these.
+/// @brief One numbered step of an exchange, at which a fault can be injected.
 struct TraceStep {
   std::uint64_t number = 0;
-  std::string kind;  ///< "request", "head", "chunk", "done" or "caller"
+  std::string kind;  ///< "request", "head", "chunk", "done",
+                     ///< "executed" or "caller"
   std::string server;
 };
 
-/// @brief Carries exchanges with seeded delays.
+/// @brief Transfers requests and responses with seeded random delays.
 class Network {
  public:
-  /// @brief Tells a host's core of an event.
+  /// @brief Delivers an event to a host's core.
   using EventSink = std::function<void(std::size_t host, const Event&)>;
 
-  /// @param timeline virtual time
-  /// @param seed of the delays
-  /// @param deliver hands an event to a host
+  /// @param timeline virtual clock
+  /// @param seed seed of the delays
+  /// @param event_sink receives the events for the hosts
   Network(Timeline& timeline, std::uint64_t seed, EventSink event_sink);
 
-  /// @brief Names a server; URLs are "http://NAME/...".
+  /// @brief Registers a server under the name used in "http://NAME/..." URLs.
   void AddServer(const std::string& name, FakeServer server);
 
-  /// @brief Sets what becomes of connections to a server. kRefused also cuts
-  /// those that are open.
+  /// @brief Sets the state of the link to a server; kRefused also disconnects
+  /// its open exchanges.
   void SetLink(const std::string& name, LinkState state);
 
-  /// @brief Adds a delay to everything that a server answers.
+  /// @brief Sets an additional delay for every response of a server.
   void SetDelay(const std::string& name, Duration delay);
 
-  // ---- The calling side ----
+  // ---- Client side ----
   void StartCall(std::size_t host, const HttpCall& call);
   void Cancel(std::size_t host, CallId call);
-  /// @brief A host died: its exchanges go away on the servers' side.
+  /// @brief Closes all exchanges of a terminated host, without events to it.
   void CloseHostExchanges(std::size_t host);
 
-  // ---- The answering side ----
+  // ---- Server side ----
   void SendHead(ExchangeId id, int status, Headers headers);
   void SendChunk(ExchangeId id, std::string bytes);
   void SendEnd(ExchangeId id);
-  /// @brief Breaks the connection.
+  /// @brief Breaks the connection; the host receives HttpEnd::kCut.
   void Disconnect(ExchangeId id);
-  /// @brief Answers at once with a whole body.
+  /// @brief Sends a complete response.
   void Respond(ExchangeId id, int status, Headers headers, std::string body);
 
-  /// @brief Numbers a moment and tells the hook, before it has an effect.
+  /// @brief Numbers a step and reports it to `on_step` before it takes effect.
+  /// @param kind kind of the step, as in TraceStep
+  /// @param server name of the server
   void RecordStep(const std::string& kind, const std::string& server);
 
-  /// @brief Told of every numbered moment.
+  /// @brief Called for each step; may be empty.
   std::function<void(const TraceStep&)> on_step;
 
  private:
@@ -108,7 +113,7 @@
     HttpCall call;
     std::string server;
     bool paused = false;
-    Instant last_delivery;  ///< keeps the order of what is on the way
+    Instant last_delivery;  ///< keeps the events of an exchange in order
   };
   struct Server {
     FakeServer fake;
@@ -138,7 +143,7 @@
 /// @return the part of a URL between "http://" and the next '/'
 std::string ServerName(const std::string& url);
 
-/// @return the part of a URL from its path on
+/// @return the path and query of a URL
 std::string PathAndQuery(const std::string& url);
 
 }  // namespace limpetlink::testing
--- a/tests/core/path_test.cc
+++ b/tests/core/path_test.cc
@@ -44,7 +44,7 @@
 };
 
 TEST_CASE_METHOD(PathFixture,
-                 "stream, nothing fails, gives every token and the end") {
+                 "stream, no fault, delivers every token and the end event") {
   const CallerLog& log = this->Execute(Completion(true));
   CHECK(log.status == 200);
   CHECK(log.ended);
@@ -54,7 +54,7 @@
 }
 
 TEST_CASE_METHOD(PathFixture,
-                 "whole answer, nothing fails, is one JSON object") {
+                 "complete response, no fault, is one JSON object") {
   const CallerLog& log = this->Execute(Completion(false));
   CHECK(log.status == 200);
   CHECK(log.body.find("\"completion_tokens\":12") != std::string::npos);
@@ -71,15 +71,15 @@
   CHECK(this->simulation.executions.size() == 1);
 }
 
-TEST_CASE_METHOD(PathFixture, "order, same key with another body, is refused") {
+TEST_CASE_METHOD(PathFixture,
+                 "order, same key with another body, is rejected") {
   this->Execute(Order("k", "one"));
   const CallerLog& log = this->Execute(Order("k", "two"));
   CHECK(log.status == 422);
   CHECK(this->simulation.executions.size() == 1);
 }
 
-TEST_CASE_METHOD(PathFixture,
-                 "lookup, nothing fails, is answered by the upstream") {
+TEST_CASE_METHOD(PathFixture, "lookup, no fault, is answered by the upstream") {
   CallerRequest request;
   request.method = "GET";
   request.path = "/v1/services/orders/lookups/7";
@@ -87,8 +87,9 @@
   CHECK(log.status == 200);
 }
 
-TEST_CASE_METHOD(PathFixture,
-                 "lookup, path with dot segments, is refused and not sent on") {
+TEST_CASE_METHOD(
+    PathFixture,
+    "lookup, path with dot segments, is rejected and not forwarded") {
   CallerRequest request;
   request.method = "GET";
   request.path = "/v1/services/orders/lookups/../orders";
@@ -118,8 +119,9 @@
   CHECK(this->simulation.RunUntilReady());
 }
 
-TEST_CASE_METHOD(PathFixture,
-                 "lookup, one upstream hangs, is answered by a second copy") {
+TEST_CASE_METHOD(
+    PathFixture,
+    "lookup, one upstream hangs, is answered by a hedged attempt") {
   CallerRequest lookup;
   lookup.method = "GET";
   lookup.path = "/v1/services/orders/lookups/7";
--- a/tests/core/platform_fake.h
+++ b/tests/core/platform_fake.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The platform's object API and host list in virtual time.
+/// @brief Fake of the platform's object API and host list in virtual time.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +11,8 @@
 
 namespace limpetlink::testing {
 
-/// @brief Objects with versions, conditional writes, watches and lists; a host
-/// list.
+/// @brief Fake platform with versioned objects, conditional writes, watches,
+/// object lists and a host list.
 class PlatformFake {
  public:
   /// @brief One row of the host list.
@@ -23,24 +23,27 @@
     std::string state;
   };
 
-  /// @param network the fake is its server "platform"
+  /// @param network network that the fake joins as server "platform"
+  /// @param timeline virtual clock for the timeouts of watches
   PlatformFake(Network& network, Timeline& timeline);
 
-  /// @brief Writes an object as an operator's tool would, without a condition.
-  /// @return its new version
+  /// @brief Writes an object unconditionally, like an operator's tool.
+  /// @return the new version
   std::uint64_t Write(const std::string& key, std::string bytes);
 
-  /// @return an object's version; 0 when absent
+  /// @return an object's version; 0 if it does not exist
   std::uint64_t VersionOf(const std::string& key) const;
 
-  /// @brief The next write takes effect and its answer is lost.
+  /// @brief Applies the next write and breaks the connection before its
+  /// response.
   void DropNextWriteResponse() { this->drop_next_write_response = true; }
 
-  /// @brief Answers 503 to everything.
+  /// @brief Enables or disables an outage, in which every response is 503.
   void SetOutage(bool on) { this->outage = on; }
 
   std::vector<Host> hosts;
-  std::uint64_t writes = 0;  ///< calls that asked for a write
+  std::uint64_t writes =
+      0;  ///< write requests received, including rejected ones
 
  private:
   struct Object {
--- a/tests/core/service_fake.h
+++ b/tests/core/service_fake.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief A worker of an application service in virtual time, that remembers
-/// what it ran.
+/// @brief Fake worker of an application service in virtual time that records
+/// its executions.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace limpetlink::testing {
 
-/// @brief One run of a request.
+/// @brief One execution of a request.
 struct Execution {
   std::string worker;
   std::string method;
@@ -20,18 +20,22 @@
   Instant at;
 };
 
-/// @brief Runs every request it receives once, after some time, and answers.
+/// @brief Fake worker that executes each received request once after 20 ms and
+/// responds 5 ms later.
 class ServiceFake {
  public:
-  /// @param executions shared record of all workers' runs
+  /// @param network network that the worker is a server of
+  /// @param timeline virtual clock
+  /// @param name address of the worker in the network, host:port
+  /// @param executions record of the executions, shared by all workers
   ServiceFake(Network& network, Timeline& timeline, std::string name,
               std::vector<Execution>& executions);
 
-  /// @brief The process dies: connections are cut and refused, work not done
-  /// yet is lost.
+  /// @brief Terminates the process: open connections break, new ones are
+  /// refused, and unfinished work is lost.
   void Kill();
 
-  /// @brief Refuses new work as not run and says so in its report.
+  /// @brief Rejects new requests with `not_run` and reports itself as draining.
   void Drain() { this->draining = true; }
 
  private:
--- a/tests/core/world.cc
+++ b/tests/core/world.cc
@@ -240,7 +240,7 @@
   });
 }
 
-// ---- Orders of the cores ----
+// ---- Actions of the cores ----
 
 void FleetSimulation::Execute(std::size_t host, const Actions& actions) {
   for (const Action& action : actions) {
@@ -278,7 +278,7 @@
   } else if (const auto* end = std::get_if<ReplyEnd>(&action)) {
     if (CallerLog* log = find_caller(end->id)) {
       if (log->ended) {
-        this->violations.emplace_back("a request was answered twice");
+        this->violations.emplace_back("a request received two responses");
       }
       log->ended = true;
       log->aborted = end->abort;
@@ -288,7 +288,7 @@
     if (line->message == "fleet document adopted") {
       const std::uint64_t version = std::stoull(line->fields.front().value);
       if (version <= from.version) {
-        this->violations.emplace_back("a document's version did not rise");
+        this->violations.emplace_back("a document's version did not increase");
       }
       from.version = version;
     }
--- a/tests/core/world.h
+++ b/tests/core/world.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Entry host cores, their callers and the fakes behind them, joined in
-/// virtual time.
+/// @brief Simulates a small fleet in virtual time: entry host cores, their
+/// callers and the fake servers behind them.
 #pragma once
 
 #include <cstdint>
@@ -20,31 +20,31 @@
 
 namespace limpetlink::testing {
 
-/// @brief What a caller saw of one request.
+/// @brief Request of a caller and the response it received.
 struct CallerLog {
   std::size_t host = 0;
   CallerRequest request;
   Instant sent;
   Instant deadline;
-  int status = 0;  ///< 0: no answer began
+  int status = 0;  ///< 0: no response received
   Headers headers;
   std::string body;
-  bool ended = false;    ///< the answer came to its end
-  bool aborted = false;  ///< the connection broke
+  bool ended = false;    ///< the response ended
+  bool aborted = false;  ///< the connection was broken
   Instant ended_at;
 };
 
-/// @brief How large a world is.
+/// @brief Size and seed of a simulated fleet.
 struct FleetSimulationOptions {
   std::uint64_t seed = 1;
   std::size_t hosts = 2;
   std::size_t engines = 2;
   std::size_t services = 2;
-  std::uint64_t tokens = 12;  ///< length of every generation
+  std::uint64_t tokens = 12;  ///< number of tokens of every generation
   std::string on_loss = "restart";
 };
 
-/// @brief A small fleet in virtual time.
+/// @brief Simulates a small fleet in virtual time.
 class FleetSimulation {
  public:
   explicit FleetSimulation(FleetSimulationOptions options);
@@ -52,29 +52,36 @@
   FleetSimulation(const FleetSimulation&) = delete;
   FleetSimulation& operator=(const FleetSimulation&) = delete;
 
-  /// @brief Runs until something holds.
-  /// @return false when it does not hold within the limit
+  /// @brief Runs until a condition holds.
+  /// @param holds condition, evaluated after each task
+  /// @param limit longest virtual time to run
+  /// @return whether the condition held within the limit
   bool RunUntil(const std::function<bool()>& holds, Duration limit);
 
-  /// @brief Runs for a time.
+  /// @brief Runs for a span of virtual time.
   void RunFor(Duration time);
 
-  /// @brief Runs until every living host serves.
+  /// @brief Runs until every running host is ready.
+  /// @return false if that takes more than 60 s
   bool RunUntilReady();
 
   // ---- Callers ----
 
   /// @brief Sends a request to a host.
-  /// @return the caller's number
+  /// @param host index of the host
+  /// @param request request without its id and its Authorization and Prefer
+  /// headers
+  /// @param wait time until the caller's deadline
+  /// @return index of the caller in `callers`
   std::size_t Send(std::size_t host, CallerRequest request, Duration wait);
 
-  /// @brief The caller closes its connection.
+  /// @brief Closes a caller's connection.
   void Disconnect(std::size_t caller);
 
-  /// @return whether the caller's exchange is over, one way or the other
+  /// @return whether the caller's request has ended or was aborted
   bool IsFinished(std::size_t caller) const;
 
-  // ---- Faults of hosts ----
+  // ---- Host faults ----
   void KillHost(std::size_t host);
   void StartHost(std::size_t host);
   void FreezeHost(std::size_t host);
@@ -82,15 +89,17 @@
   void DrainHost(std::size_t host);
   bool IsHostRunning(std::size_t host) const;
 
-  /// @brief Applies a fleet document that differs from the last by its change
-  /// id.
-  /// @return the version that it has at the platform
+  /// @brief Writes a fleet document that differs from the last one only in its
+  /// change id.
+  /// @return its version at the platform
   std::uint64_t ApplyDocument();
 
-  /// @brief Asks a host for one of its pages, outside of the callers' record.
+  /// @brief Requests an operator page of a host; the request is not recorded in
+  /// `callers`.
+  /// @return the body of the response
   std::string FetchPage(std::size_t host, const std::string& path);
 
-  /// @return the fleet version that a host has in force
+  /// @return the version of the fleet document that a host has applied
   std::uint64_t ActiveFleetVersion(std::size_t host);
 
   Timeline timeline;
@@ -100,25 +109,26 @@
   std::vector<std::unique_ptr<ServiceFake>> services;
   std::vector<Execution> executions;
   std::vector<CallerLog> callers;
-  std::uint64_t peer_frames = 0;  ///< sent between hosts
+  std::uint64_t peer_frames = 0;  ///< frames sent between hosts
   std::uint64_t peer_bytes = 0;
   std::map<PeerKind, std::uint64_t> peer_bytes_by_kind;
   std::uint64_t platform_calls = 0;
-  std::uint64_t report_calls = 0;  ///< for load reports
+  std::uint64_t report_calls = 0;  ///< requests for load reports
   std::vector<std::string>
-      violations;  ///< found while running, as a version that went down
+      violations;  ///< found during the run, e.g. a version that decreased
 
  private:
   struct Host {
     std::unique_ptr<EntryHost> core;
     std::string id;
     std::uint64_t incarnation = 0;
-    std::uint64_t tick = 0;  ///< number of the tick that counts
+    std::uint64_t tick =
+        0;  ///< number of the current tick; older ones are ignored
     bool frozen = false;
     std::vector<std::function<void()>> deferred;
     std::uint64_t next_request = 0;
     std::map<std::uint64_t, std::size_t> callers;  ///< by request id
-    std::uint64_t version = 0;  ///< highest document version seen in force
+    std::uint64_t version = 0;  ///< version of the last applied document
   };
 
   void Deliver(std::size_t host, const Event& event);
@@ -134,7 +144,7 @@
   Random random;
   std::vector<Host> hosts;
   std::uint64_t changes = 0;
-  std::string page;  ///< body of the answer to the last Page
+  std::string page;  ///< body of the response to the last FetchPage
 };
 
 }  // namespace limpetlink::testing
