--- a/tests/hosts/configuration_test.cc
+++ b/tests/hosts/configuration_test.cc
@@ -11,7 +11,7 @@
 
 constexpr Duration kPropagationLimit = seconds(13);
 
-/// @brief A group whose every adoption is checked to rise.
+/// @brief Checks that the versions each host applies only increase.
 class ConfigurationFixture {
  public:
   void StartGroup(std::size_t hosts, std::uint64_t seed,
@@ -67,7 +67,7 @@
     };
   }
 
-  /// @brief A restarted process begins with nothing in force.
+  /// @brief Restarts a host; its new process has no active version.
   void Restart(std::size_t host) {
     this->active_version[host] = 0;
     this->group->Kill(host);
@@ -79,7 +79,7 @@
 };
 
 TEST_CASE_METHOD(ConfigurationFixture,
-                 "configuration, a change, is in force everywhere in seconds") {
+                 "configuration, a change, is active everywhere in seconds") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     this->StartGroup(3 + seed, seed);
     for (int change = 0; change < 5; ++change) {
@@ -92,8 +92,8 @@
 }
 
 TEST_CASE_METHOD(ConfigurationFixture,
-                 "configuration, watches that never answer, a change is in "
-                 "force everywhere in 13 s") {
+                 "configuration, watches that never return, a change is "
+                 "active everywhere in 13 s") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     this->StartGroup(3 + seed, seed);
     this->group->call_fate = [](std::size_t, const HttpCall& call) {
@@ -109,7 +109,7 @@
 
 TEST_CASE_METHOD(ConfigurationFixture,
                  "configuration, only one host in five reaches the platform, a "
-                 "change is in force everywhere in 13 s") {
+                 "change is active everywhere in 13 s") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     this->StartGroup(5 + seed, seed);
     const std::size_t reachable_remainder = seed % 5;
@@ -127,7 +127,7 @@
 
 TEST_CASE_METHOD(ConfigurationFixture,
                  "configuration, outage of the platform, a new host serves "
-                 "only after the spreading time with the newest version") {
+                 "only after the propagation time with the newest version") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     this->StartGroup(4 + seed % 8, seed);
     const std::uint64_t newest = this->WriteDocument();
@@ -147,7 +147,7 @@
 
 TEST_CASE_METHOD(ConfigurationFixture,
                  "configuration, all hosts are new in an outage, none serves "
-                 "before the platform is back") {
+                 "before the platform recovers") {
   this->StartGroup(6, 1);
   this->SetUnreachable([](std::size_t) { return true; });
   for (std::size_t host = 0; host < 6; ++host) {
@@ -163,7 +163,7 @@
 }
 
 TEST_CASE_METHOD(ConfigurationFixture,
-                 "configuration, a frozen host wakes, is not ready before it "
+                 "configuration, a frozen host resumes, is not ready before it "
                  "has the newest version") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     this->StartGroup(6, seed);
@@ -190,8 +190,8 @@
 }
 
 TEST_CASE_METHOD(ConfigurationFixture,
-                 "configuration, a document that does not validate, is refused "
-                 "and counted and the next one is adopted") {
+                 "configuration, an invalid document, is rejected "
+                 "and counted and the next one is applied") {
   this->StartGroup(7, 1);
   const std::uint64_t before = this->active_version[0];
   this->WriteDocument("invalid");
@@ -210,8 +210,8 @@
 
 TEST_CASE_METHOD(
     ConfigurationFixture,
-    "configuration, regions apart, restarts, loss and outages "
-    "while operators write, versions only rise and agree at last") {
+    "configuration, partitions, restarts, loss and outages while "
+    "operators write, versions only increase and finally converge") {
   for (std::uint64_t seed = 1; seed <= 25; ++seed) {
     const std::size_t hosts = 4 + seed % 9;
     this->StartGroup(hosts, seed, 0.1);
--- a/tests/hosts/host_group.cc
+++ b/tests/hosts/host_group.cc
@@ -351,7 +351,7 @@
   std::swap(watches, this->pending_watches);
   for (PendingWatch& watch : watches) {
     const FakePlatform::Answer response = this->platform.Serve(watch.call);
-    --this->platform.watches;  // the same call, not a new one
+    --this->platform.watches;  // the call was already counted
     if (response.status == 0) {
       this->pending_watches.push_back(std::move(watch));
     } else {
--- a/tests/hosts/host_group.h
+++ b/tests/hosts/host_group.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Several hosts' cores (membership, configuration, platform client)
-/// joined by an in-memory message fake under virtual time.
+/// @brief Simulates a group of hosts in virtual time; each has the membership,
+/// configuration and platform client components.
 #pragma once
 
 #include <cstdint>
@@ -18,20 +18,20 @@
 
 namespace limpetlink::testing {
 
-/// @brief How a group is built and what befalls its messages.
+/// @brief Size of a group and faults of its messages.
 struct GroupOptions {
   std::size_t hosts = 6;
   std::uint64_t seed = 1;
   Duration min_delay{std::chrono::milliseconds(2)};
   Duration max_delay{std::chrono::milliseconds(25)};
-  double loss_rate = 0.0;  ///< share of peer messages that vanish
+  double loss_rate = 0.0;  ///< fraction of peer messages lost, 0 to 1
   MembershipSettings membership;
   ConfigurationSettings configuration;
-  /// Seconds of processor time so far, for measurements; may be empty.
+  /// Returns the processor time used so far in seconds; may be empty.
   std::function<double()> processor_clock;
 };
 
-/// @brief One host of a group and what was counted of it.
+/// @brief One host of a group and its counters.
 struct GroupHost {
   HostId id;
   std::uint64_t incarnation = 0;
@@ -41,51 +41,55 @@
   std::unique_ptr<Membership> membership;
   std::unique_ptr<ConfigurationStore> configuration;
   Instant wakeup = kNever;
-  std::uint64_t frames = 0;  ///< sent
-  std::uint64_t bytes = 0;   ///< of frames sent, envelope included
+  std::uint64_t frames = 0;  ///< frames sent
+  std::uint64_t bytes = 0;   ///< bytes of the frames sent, with envelopes
   std::uint64_t largest_frame = 0;
   double processor_seconds = 0;
 };
 
-/// @brief The hosts, their messages and their platform.
+/// @brief Group of hosts, the network between them and their platform.
 class HostGroup {
  public:
   explicit HostGroup(GroupOptions options);
 
-  /// @brief Starts a host's process; a second start is a restart.
+  /// @brief Starts a host's process, or restarts it in a new incarnation.
   void StartHost(std::size_t index);
-  /// @brief Starts every host at about the same time.
+  /// @brief Starts every host at the current time.
   void StartAll();
-  /// @brief Ends a host's process without a word.
+  /// @brief Terminates a host's process without notifying its peers.
   void Kill(std::size_t index);
-  /// @brief Lets a host stand still; what is sent to it waits.
+  /// @brief Freezes a host; events for it are deferred until the span has
+  /// passed.
   void Freeze(std::size_t index, Duration span);
-  /// @brief Lets virtual time pass.
+  /// @brief Runs for a span of virtual time.
   void RunFor(Duration span);
-  /// @brief Runs until a condition holds; checked after each event.
-  /// @return whether it held within the limit
+  /// @brief Runs until a condition holds, which is evaluated after each event.
+  /// @return whether the condition held within the limit
   bool RunUntil(const std::function<bool()>& holds, Duration limit);
-  /// @brief Writes the fleet document as an operator's unconditional put.
+  /// @brief Writes the fleet document unconditionally, like an operator.
   /// @return the new version
   std::uint64_t WriteDocument(const std::string& text);
-  /// @brief Answers watches whose object has become newer.
+  /// @brief Responds to the watches whose object has a newer version.
   void CompleteWatches();
 
-  /// @return whether each running host holds exactly the running ones for live
+  /// @return whether the live list of each running host is exactly the set of
+  /// running hosts
   bool ViewsAgree() const;
-  /// @return the running hosts that have at least this version in force
+  /// @return number of running hosts that have applied at least this version
   std::size_t CountAtVersion(std::uint64_t version) const;
+  /// @return number of running hosts
   std::size_t CountRunning() const;
 
   GroupOptions options;
   std::vector<GroupHost> hosts;
   FakePlatform platform;
   Instant now{std::chrono::seconds(1000)};
-  /// Whether a frame from a to b is lost; may be empty.
+  /// Returns whether a frame from host a to host b is lost; may be empty.
   std::function<bool(std::size_t a, std::size_t b)> drop_frame;
-  /// What befalls a host's call; may be empty.
+  /// Returns the fate of a host's platform call; may be empty.
   std::function<CallFate(std::size_t host, const HttpCall& call)> call_fate;
-  /// Told of every adoption and live list; may be empty.
+  /// Called for each applied document, live list or membership action; each
+  /// may be empty.
   std::function<void(std::size_t host, const ConfigurationApplied&)> on_applied;
   std::function<void(std::size_t host, const LiveHostsChanged&)> on_live;
   std::function<void(std::size_t host, const MembershipAction&)> on_membership;
@@ -96,7 +100,7 @@
     std::uint64_t order = 0;
     std::size_t host = 0;
     std::uint64_t incarnation = 0;
-    std::function<void()> run;  ///< empty: a wakeup
+    std::function<void()> run;  ///< empty for a wakeup
   };
   struct RunsLater {
     bool operator()(const ScheduledTask& a, const ScheduledTask& b) const {
--- a/tests/hosts/membership_test.cc
+++ b/tests/hosts/membership_test.cc
@@ -47,8 +47,8 @@
 
 TEST_CASE_METHOD(
     MembershipFixture,
-    "membership, a host dies, every other host drops it in seconds "
-    "and none is taken for dead") {
+    "membership, a host dies, every other host removes it in seconds "
+    "and no live host is declared dead") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     GroupOptions options = Options(3 + seed % 12, seed);
     options.loss_rate = seed % 2 == 0 ? 0.02 : 0.0;
@@ -68,7 +68,7 @@
 
 TEST_CASE_METHOD(MembershipFixture,
                  "membership, a host restarts under its address, all see it "
-                 "live and learn of the restart") {
+                 "live and are notified of the restart") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     HostGroup group(Options(6, seed));
     group.StartAll();
@@ -95,8 +95,8 @@
 }
 
 TEST_CASE_METHOD(MembershipFixture,
-                 "membership, 120 hosts, keep few neighbours and find a death "
-                 "in seconds") {
+                 "membership, 120 hosts, keep few neighbours and detect a "
+                 "death in seconds") {
   HostGroup group(Options(120, 5));
   group.StartAll();
   const auto agree = [&group](Duration limit) {
@@ -120,7 +120,7 @@
 }
 
 TEST_CASE_METHOD(MembershipFixture,
-                 "membership, a host leaves, others drop it at once") {
+                 "membership, a host leaves, others remove it immediately") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     HostGroup group(Options(8, seed));
     group.StartAll();
@@ -142,8 +142,8 @@
 }
 
 TEST_CASE_METHOD(MembershipFixture,
-                 "membership, two regions apart for minutes, each side goes on "
-                 "and both join again") {
+                 "membership, two regions partitioned for minutes, each side "
+                 "stays live and both merge again") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     HostGroup group(Options(12, seed));
     group.StartAll();
@@ -164,9 +164,10 @@
   }
 }
 
-TEST_CASE_METHOD(MembershipFixture,
-                 "membership, a frozen host wakes, blames nobody and is not "
-                 "current before it has asked") {
+TEST_CASE_METHOD(
+    MembershipFixture,
+    "membership, a frozen host resumes, suspects nobody and is not "
+    "current before it has synchronised") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     HostGroup group(Options(9, seed));
     group.StartAll();
@@ -193,7 +194,7 @@
 }
 
 TEST_CASE_METHOD(MembershipFixture,
-                 "membership, a reply to a question from before a freeze, does "
+                 "membership, a reply to a request from before a freeze, does "
                  "not make the view current") {
   HostGroup group(Options(3, 1));
   group.StartAll();
@@ -214,7 +215,7 @@
   REQUIRE(group.RunUntil([&sync_request] { return !sync_request.empty(); },
                          seconds(11)));
   const GossipMessage first = *DecodeGossip(sync_request);
-  membership.Tick(group.now + seconds(20));  // frozen once more
+  membership.Tick(group.now + seconds(20));  // a second freeze
   GossipMessage reply;
   reply.kind = GossipKind::kSyncReply;
   reply.sequence = first.sequence;
@@ -250,7 +251,7 @@
 }
 
 TEST_CASE_METHOD(MembershipFixture,
-                 "membership, malformed messages, are refused and counted") {
+                 "membership, malformed messages, are rejected and counted") {
   HostGroup group(Options(3, 1));
   group.StartAll();
   REQUIRE(ViewsConverge(&group, seconds(15)));
