--- a/tests/ports/free_ports.cc
+++ b/tests/ports/free_ports.cc
@@ -9,7 +9,7 @@
 
 constexpr std::uint32_t kFirstPort = 12000;
 constexpr std::uint32_t kPortCount =
-    20000;  // up to 31999; outgoing connections begin at 32768
+    20000;  // up to 31999; the ephemeral range begins at 32768
 constexpr std::uint32_t kProcessOffset = 67;
 
 bool IsFree(std::uint16_t port) {
--- a/tests/ports/free_ports.h
+++ b/tests/ports/free_ports.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Ports of the loopback address for tests that start processes.
+/// @brief Allocates loopback ports for tests that start processes.
 #pragma once
 
 #include <cstddef>
@@ -8,12 +8,13 @@
 
 namespace limpetlink::testing {
 
-/// @brief Finds ports that are free now and that no outgoing connection takes
-/// meanwhile: they lie
-///        below the range that the system gives to outgoing connections.
-///        Processes look from different places on.
-/// @param count how many are wanted
-/// @return different ports; fewer when none is left
+/// @brief Finds loopback ports that are currently free.
+///
+/// The ports are below the ephemeral range, so that no outgoing connection can
+/// take one before it is used. Each process starts its search at a different
+/// offset.
+/// @param count number of ports
+/// @return distinct ports; fewer than `count` if not enough are free
 std::vector<std::uint16_t> FreePorts(std::size_t count);
 
 }  // namespace limpetlink::testing
