--- a/tests/process/child_process.h
+++ b/tests/process/child_process.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A program started by a test, signalled and ended by its pid.
+/// @brief Child process of a test, signalled and killed by its process id.
 #pragma once
 
 #include <sys/types.h>
@@ -9,32 +9,33 @@
 
 namespace limpetlink::testing {
 
-/// @brief Starts a program; kills it at the end if it still runs.
+/// @brief Runs a program as a child process; the destructor kills it if it is
+/// still running.
 class ChildProcess {
  public:
   /// @param program path of the binary
-  /// @param arguments without the program's name
-  /// @param log file for its output
+  /// @param arguments arguments without the program name
+  /// @param log file that stdout and stderr are appended to
   ChildProcess(const std::string& program, std::vector<std::string> arguments,
                const std::string& log);
   ~ChildProcess();
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
-  /// @brief Sends a signal, as SIGSTOP, SIGCONT or SIGTERM.
+  /// @brief Sends a signal, e.g. SIGSTOP, SIGCONT or SIGTERM.
   void Signal(int number) const;
 
-  /// @brief Kills at once and waits for the end.
+  /// @brief Sends SIGKILL and waits for the process to terminate.
   void Kill();
 
-  /// @brief Waits for the program's own end.
-  /// @return its exit code, or -1 after a signal
+  /// @brief Waits for the process to terminate.
+  /// @return its exit code, or -1 if a signal terminated it
   int Wait();
 
-  /// @return its process id, or -1 once it has ended
+  /// @return the process id, or -1 if the process has terminated
   pid_t Pid() const { return this->pid; }
 
-  /// @return whether it has not ended yet
+  /// @return whether the process is still running
   bool Running();
 
  private:
--- a/tests/process/fleet_fixture.h
+++ b/tests/process/fleet_fixture.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A small fleet of real processes on loopback for the process tests.
+/// @brief Runs a small fleet of processes on the loopback interface.
 #pragma once
 
 #include <condition_variable>
@@ -17,17 +17,17 @@
 
 namespace limpetlink::testing {
 
-/// @brief Longest time that a condition is waited for before a test fails.
+/// @brief Maximum time to wait for a condition before a test fails.
 inline constexpr std::chrono::seconds kWaitTimeout{60};
 
-/// @brief What came of one HTTP call.
+/// @brief Response to an HTTP call.
 struct TestResponse {
   HttpEnd end = HttpEnd::kComplete;
   int status = 0;
   Headers headers;
   std::string body;
 
-  /// @return the body as JSON; an empty object when it is none
+  /// @return the body as JSON; an empty object if it is not a JSON object
   nlohmann::json Json() const;
 };
 
@@ -38,28 +38,29 @@
   std::string data;
 };
 
-/// @brief Splits a stream's body into its events; comments are left out.
+/// @brief Parses the server-sent events of a body; comments are skipped.
 std::vector<ServerSentEvent> ParseEvents(const std::string& body);
 
-/// @brief Joins the texts of a completion stream's events.
+/// @brief Concatenates the texts of a completion stream's events.
 std::string JoinTexts(const std::vector<ServerSentEvent>& events);
 
-/// @brief Makes HTTP calls and keeps what comes of each while it comes.
+/// @brief Sends HTTP calls and collects their responses as they arrive.
 class TestCaller {
  public:
   TestCaller();
 
-  /// @brief Begins a call.
+  /// @brief Starts a call without waiting for its response.
   CallId StartCall(const std::string& method, const std::string& url,
                    const std::string& body = "", Headers headers = {});
 
-  /// @brief Waits for a call's end.
+  /// @brief Waits until a call has ended; fails the test after kWaitTimeout.
   TestResponse WaitForEnd(CallId id);
 
-  /// @brief Waits until the answer so far holds a text.
+  /// @brief Waits until the received part of the body contains a text.
+  /// @return false after kWaitTimeout
   bool WaitForBody(CallId id, const std::string& text);
 
-  /// @brief Makes a whole call.
+  /// @brief Sends a call and waits until it has ended.
   TestResponse Call(const std::string& method, const std::string& url,
                     const std::string& body = "", Headers headers = {});
 
@@ -81,8 +82,8 @@
   HttpClient client;
 };
 
-/// @brief Platform, three engines, a service and entry hosts; each its own
-/// process.
+/// @brief Fleet of a fake platform, three fake engines, a fake service, entry
+/// hosts and placement hosts, each in its own process.
 class FleetFixture {
  public:
   static constexpr int kEngines = 3;
@@ -94,33 +95,34 @@
   void StartEntry(int number);
 
   /// @brief Starts a placement host.
-  /// @param number names it
+  /// @param number number in the host id "placement-NUMBER"
   void StartPlacement(int number);
 
-  /// @brief Starts a stand-in again on its old port.
+  /// @brief Starts a fake, or restarts it on its previous port.
   void StartPlatform();
   void StartEngine(int number);
   void StartService();
 
-  /// @brief Puts the fleet document as it stands in `document`.
+  /// @brief Writes the fleet document in `document` to the platform.
   void WriteFleet();
 
-  /// @return URLs of the processes
+  /// @return URL of a path at a process
   std::string EntryUrl(int number, const std::string& path) const;
   std::string EngineUrl(int number, const std::string& path) const;
   std::string ServiceUrl(const std::string& path) const;
   std::string PlatformUrl(const std::string& path) const;
 
-  /// @brief Begins a streamed completion at an entry host.
+  /// @brief Starts a streamed completion at an entry host.
   CallId StartStream(int entry, int tokens, Headers extra = {});
 
-  /// @return headers with the organisation's key
+  /// @return the headers with the organisation's API key added
   static Headers WithApiKey(Headers extra = {});
 
-  /// @brief Waits until a condition holds; a test fails otherwise.
+  /// @brief Waits until a condition holds.
+  /// @return false if it does not hold within kWaitTimeout
   static bool WaitUntil(const std::function<bool()>& condition);
 
-  /// @return all tokens that any engine was told to make, by generation
+  /// @return the records of all engines by generation id
   std::map<std::string, nlohmann::json> CollectGenerations();
 
   TestCaller caller;
--- a/tests/process/path_test.cc
+++ b/tests/process/path_test.cc
@@ -11,7 +11,7 @@
  public:
   PathFixture() { this->StartEntry(1); }
 
-  /// The only generation that was run, and its whole text.
+  /// Returns the id of the generation, of which there must be exactly one.
   std::string OnlyGeneration() {
     const auto all = this->CollectGenerations();
     REQUIRE(all.size() == 1);
@@ -55,7 +55,7 @@
 }  // namespace
 
 TEST_CASE_METHOD(PathFixture,
-                 "a stream, whole path, each token comes once and in order") {
+                 "a stream, full path, each token arrives once and in order") {
   const TestResponse response =
       this->caller.WaitForEnd(this->StartStream(1, 200));
   CHECK(response.status == 200);
@@ -65,7 +65,7 @@
 }
 
 TEST_CASE_METHOD(PathFixture,
-                 "a lookup, whole path, the service's answer comes back") {
+                 "a lookup, full path, the service's response is returned") {
   const TestResponse response = this->caller.Call(
       "GET", this->EntryUrl(1, "/v1/services/trial-bench/recipes/7"), "",
       WithApiKey());
@@ -87,8 +87,9 @@
   CHECK(this->Executions().size() == 1);
 }
 
-TEST_CASE_METHOD(PathFixture,
-                 "a request at fault, each kind, a clear problem is told") {
+TEST_CASE_METHOD(
+    PathFixture,
+    "an invalid request, each kind, a specific problem is returned") {
   const std::string services = this->EntryUrl(1, "/v1/services/");
   CheckProblem(this->SendCompletion(kValidBody, {}), 401,
                CodeText(ErrorCode::kRequestNoKey));
@@ -117,7 +118,7 @@
 }
 
 TEST_CASE_METHOD(PathFixture,
-                 "SIGTERM with an open stream, the stream ends whole, exit 0") {
+                 "SIGTERM with an open stream, the stream completes, exit 0") {
   const CallId id = this->StartStream(1, 300);
   REQUIRE(this->caller.WaitForBody(id, "data: "));
   this->entries[1]->Signal(SIGTERM);
@@ -130,7 +131,7 @@
 
 TEST_CASE_METHOD(
     PathFixture,
-    "an order cut after it ran, sent again, it is unknown and ran once") {
+    "an order cut after its execution, retried, is unknown and ran once") {
   this->caller.Call("POST", this->ServiceUrl("/control/faults"),
                     R"({"fault":"cut_after","times":1})");
   const std::string url = this->EntryUrl(1, "/v1/services/trial-bench/dosing");
@@ -144,8 +145,9 @@
   CHECK(this->Executions().size() == 1);
 }
 
-TEST_CASE_METHOD(PathFixture,
-                 "an entry host killed in a stream, another resumes it whole") {
+TEST_CASE_METHOD(
+    PathFixture,
+    "an entry host killed in a stream, another resumes it completely") {
   this->StartEntry(2);
   const CallId id = this->StartStream(1, 300);
   REQUIRE(this->caller.WaitForBody(id, "data: "));
--- a/tests/process/placement_test.cc
+++ b/tests/process/placement_test.cc
@@ -33,7 +33,7 @@
     return true;
   }
 
-  /// The number of the placement host that holds the lease; 0 without one.
+  /// Returns the number of the placement host that holds the lease; 0 if none.
   int LeaseHolder() {
     const std::string lease =
         this->caller
@@ -53,14 +53,14 @@
 
 TEST_CASE_METHOD(
     PlacementFixture,
-    "engine orders, a new version is wanted, bring every engine to it") {
+    "engine commands, a new desired version, every engine serves it") {
   this->SetDesiredVersion("next");
   CHECK(WaitUntil([this] { return this->AllEnginesServe("next"); }));
 }
 
-TEST_CASE_METHOD(
-    PlacementFixture,
-    "engine orders, the holder dies, the other goes on with a higher number") {
+TEST_CASE_METHOD(PlacementFixture,
+                 "engine commands, the holder dies, the other continues with a "
+                 "higher fence") {
   this->SetDesiredVersion("next");
   REQUIRE(WaitUntil([this] { return this->AllEnginesServe("next"); }));
   const std::uint64_t fence = this->LoadReport(1)["fence"];
@@ -74,7 +74,7 @@
 
 TEST_CASE_METHOD(
     PlacementFixture,
-    "engine orders, the holder is paused and wakes, harm no later state") {
+    "engine commands, the holder is paused and resumes, keep the later state") {
   this->SetDesiredVersion("next");
   REQUIRE(WaitUntil([this] { return this->AllEnginesServe("next"); }));
   const int holder = this->LeaseHolder();
