--- a/tests/core/fault_matrix_test.cc
+++ b/tests/core/fault_matrix_test.cc
@@ -18,7 +18,8 @@
   CHECK(cell.failed == 0);
 }
 
-/// Puts the fault at every step of every activity, alone and with a second one.
+/// Injects the fault at every step of every activity, alone and with a second
+/// fault.
 void CheckFault(Fault fault) {
   for (const auto& activity : EnumTable<Activity>::kRows) {
     CheckCell(ExecuteCell(fault, activity.value, kSeeds));
@@ -51,7 +52,7 @@
   CheckFault(Fault::kPlatformSlow);
 }
 TEST_CASE("core matrix, answer is lost, keeps every promise") {
-  CheckFault(Fault::kAnswerLost);
+  CheckFault(Fault::kResponseLost);
 }
 TEST_CASE("core matrix, host is paused, keeps every promise") {
   CheckFault(Fault::kHostPaused);
