--- a/bench/gateway_decisions.cc
+++ b/bench/gateway_decisions.cc
@@ -1,4 +1,5 @@
-// What a gateway host decides and tells, at three sizes of a deployment.
+// Measures the routing decisions and neighbour messages of a gateway host at
+// three deployment sizes.
 // Usage: limpet-bench-gateway [--json FILE]
 #include <chrono>
 #include <string>
@@ -20,28 +21,28 @@
 struct Size {
   std::size_t hosts;
   std::size_t domains;
-  std::size_t workers;        ///< of one service
-  std::size_t rows_per_host;  ///< workers at which a host has requests
+  std::size_t workers;        ///< workers of one service
+  std::size_t rows_per_host;  ///< workers with requests of one host
 };
 
 constexpr Size kSizes[] = {{6, 3, 9, 4}, {77, 6, 48, 4}, {550, 9, 812, 40}};
 
-double MicrosecondsEach(const std::function<void()>& step) {
+double MeanMicroseconds(const std::function<void()>& step) {
   const auto start = std::chrono::steady_clock::now();
   for (int i = 0; i < kRounds; ++i) {
     step();
   }
-  const std::chrono::duration<double> took =
+  const std::chrono::duration<double> elapsed =
       std::chrono::steady_clock::now() - start;
-  return took.count() * kMicroseconds / kRounds;
+  return elapsed.count() * kMicroseconds / kRounds;
 }
 
 UpstreamId WorkerName(std::size_t index) {
   return UpstreamId{"i-" + std::to_string(1000000000 + index)};
 }
 
-std::vector<WorkerLoad> Loads(std::size_t rows, std::size_t first,
-                              std::size_t workers) {
+std::vector<WorkerLoad> MakeLoads(std::size_t rows, std::size_t first,
+                                  std::size_t workers) {
   std::vector<WorkerLoad> loads;
   for (std::size_t i = 0; i < rows; ++i) {
     loads.push_back({WorkerName((first + i) % workers), 2, 1, kPromptTokens,
@@ -69,43 +70,45 @@
   for (std::size_t i = 0; i < size.rows_per_host; ++i) {
     table.Begin(now, WorkerName(i % size.workers), request);
   }
-  const auto shares_of = [&size](std::size_t host) {
-    return Loads(size.rows_per_host, host * 7, size.workers);
+  const auto loads_of_host = [&size](std::size_t host) {
+    return MakeLoads(size.rows_per_host, host * 7, size.workers);
   };
   for (std::size_t host = 1; host < neighbours; ++host) {
     table.ApplyHostLoads(now, HostId{"host-" + std::to_string(host)},
-                         shares_of(host));
+                         loads_of_host(host));
   }
   for (std::size_t domain = 1; domain < size.domains; ++domain) {
     table.ApplyDomainLoads(now, FailureDomainId{std::to_string(domain)},
-                           Loads(size.workers, 0, size.workers));
+                           MakeLoads(size.workers, 0, size.workers));
   }
-  NeighbourMessage state;
-  state.host = HostId{"edge-perth-a-10"};
-  state.domain = FailureDomainId{"perth-a"};
-  state.address = "10.1.0.29:8180";
-  state.shares = table.LocalLoads();
-  NeighbourMessage sum = state;
-  sum.shares.clear();
-  sum.domain_loads = DomainLoads{state.domain, table.DomainLoads()};
-  const std::string state_bytes = EncodeNeighbourMessage(state);
-  const std::string sum_bytes = EncodeNeighbourMessage(sum);
+  NeighbourMessage host_message;
+  host_message.host = HostId{"edge-perth-a-10"};
+  host_message.domain = FailureDomainId{"perth-a"};
+  host_message.address = "10.1.0.29:8180";
+  host_message.worker_loads = table.LocalLoads();
+  NeighbourMessage domain_message = host_message;
+  domain_message.worker_loads.clear();
+  domain_message.domain_loads =
+      DomainLoads{host_message.domain, table.DomainLoads()};
+  const std::string host_bytes = EncodeNeighbourMessage(host_message);
+  const std::string domain_bytes = EncodeNeighbourMessage(domain_message);
   nlohmann::json row = {{"hosts", size.hosts},
                         {"workers", size.workers},
                         {"neighbours", neighbours - 1},
-                        {"state_bytes", state_bytes.size()},
-                        {"domain_bytes", sum_bytes.size()}};
+                        {"state_bytes", host_bytes.size()},
+                        {"domain_bytes", domain_bytes.size()}};
   row["choose_us"] =
-      MicrosecondsEach([&] { table.Choose(now, candidates, request); });
-  row["tell_us"] = MicrosecondsEach([&] { EncodeNeighbourMessage(state); });
-  row["take_us"] = MicrosecondsEach([&] {
-    const absl::StatusOr<NeighbourMessage> read =
-        DecodeNeighbourMessage(state_bytes);
-    if (read.ok()) {
-      table.ApplyHostLoads(now, HostId{"host-1"}, read->shares);
+      MeanMicroseconds([&] { table.Choose(now, candidates, request); });
+  row["tell_us"] =
+      MeanMicroseconds([&] { EncodeNeighbourMessage(host_message); });
+  row["take_us"] = MeanMicroseconds([&] {
+    const absl::StatusOr<NeighbourMessage> decoded =
+        DecodeNeighbourMessage(host_bytes);
+    if (decoded.ok()) {
+      table.ApplyHostLoads(now, HostId{"host-1"}, decoded->worker_loads);
     }
   });
-  row["sum_domain_us"] = MicrosecondsEach([&] { table.DomainLoads(); });
+  row["sum_domain_us"] = MeanMicroseconds([&] { table.DomainLoads(); });
   return row;
 }
 
@@ -115,12 +118,13 @@
 int main(int argc, char** argv) {
   using limpetlink::bench::kSizes;
   using limpetlink::bench::Measure;
-  const cxxopts::Options options("limpet-bench-gateway",
-                                 "Decisions and messages of a gateway host");
+  const cxxopts::Options options(
+      "limpet-bench-gateway",
+      "Cost of decisions and messages of a gateway host");
   return limpetlink::bench::RunReport(
-      options, argc, argv, [](const auto& /*parsed*/, const auto& take) {
+      options, argc, argv, [](const auto& /*parsed*/, const auto& add_row) {
         for (const auto& size : kSizes) {
-          take(Measure(size));
+          add_row(Measure(size));
         }
       });
 }
