--- a/bench/decisions.cc
+++ b/bench/decisions.cc
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Compares the dispatcher with baselines on modelled engines, and times
-/// its decisions.
+/// @brief Compares the dispatcher with baseline policies on modelled engines
+/// and measures the cost of its decisions.
 
 #include <cstdio>
 #include <cxxopts.hpp>
@@ -17,11 +17,11 @@
 namespace {
 
 constexpr double kMilliseconds = 1000.0;
-constexpr double kSlowStream = 500;     // microseconds of a step for a stream
-constexpr double kSlowLoad = 0.6;       // of the usual engine's capacity
-constexpr double kBacklogRate = 400.0;  // requests/s, far beyond capacity
+constexpr double kSlowStreamMicroseconds = 500;  // per step and decoding stream
+constexpr double kSlowEngineLoad = 0.6;  // of the default engine's capacity
+constexpr double kBacklogRate = 400.0;   // requests/s, far beyond capacity
 
-/// One line of the tables.
+/// One row of the tables.
 struct Row {
   std::string mix;
   std::string policy;
@@ -29,17 +29,18 @@
   TrialResult result;
 };
 
-/// Capacity of a mix: tokens a second that the better of greedy and the 80%
-/// watermark produces when requests of both classes always wait and none gives
-/// up.
+/// Returns the capacity of a mix in tokens per second: the better rate of the
+/// greedy and the 80% watermark baseline while requests of both classes are
+/// always queued and none times out.
 double MeasureCapacity(Mix mix, const TrialSettings& base) {
   mix.verdict_deadline = std::chrono::hours(10);
   mix.draft_deadline = std::chrono::hours(10);
   TrialSettings settings = base;
-  settings.per_second = kBacklogRate;
+  settings.requests_per_second = kBacklogRate;
   double best = 0;
   for (const auto rule : {BaselineRule::kWatermark, BaselineRule::kGreedy}) {
-    best = std::max(best, RunTrial(mix, settings, Baseline(rule)).token_rate);
+    best = std::max(
+        best, RunTrial(mix, settings, MakeBaselinePolicy(rule)).token_rate);
   }
   return best;
 }
@@ -52,26 +53,26 @@
           {"stall_seconds", result.stall_seconds},
           {"preemptions", result.preemptions},
           {"gap_ms",
-           {{"p50", result.gaps.At(0.5) * kMilliseconds},
-            {"p95", result.gaps.At(0.95) * kMilliseconds},
-            {"p99", result.gaps.At(0.99) * kMilliseconds}}},
+           {{"p50", result.gaps.Quantile(0.5) * kMilliseconds},
+            {"p95", result.gaps.Quantile(0.95) * kMilliseconds},
+            {"p99", result.gaps.Quantile(0.99) * kMilliseconds}}},
           {"verdict_first_token_s",
-           {{"p50", result.verdict_first.At(0.5)},
-            {"p95", result.verdict_first.At(0.95)},
-            {"p99", result.verdict_first.At(0.99)}}},
+           {{"p50", result.verdict_first_token.Quantile(0.5)},
+            {"p95", result.verdict_first_token.Quantile(0.95)},
+            {"p99", result.verdict_first_token.Quantile(0.99)}}},
           {"draft_first_token_s",
-           {{"p50", result.draft_first.At(0.5)},
-            {"p95", result.draft_first.At(0.95)},
-            {"p99", result.draft_first.At(0.99)}}},
+           {{"p50", result.draft_first_token.Quantile(0.5)},
+            {"p95", result.draft_first_token.Quantile(0.95)},
+            {"p99", result.draft_first_token.Quantile(0.99)}}},
           {"goodput_tokens_per_second", result.goodput},
           {"tokens_per_second", result.token_rate},
-          {"jain", result.jain},
+          {"jain", result.jain_index},
           {"arrived", result.arrived},
           {"completed", result.completed},
           {"refused", result.refused}};
 }
 
-void PrintHead() {
+void PrintHeader() {
   std::printf(
       "%-11s %-17s %4s %9s %8s %6s %6s %6s %7s %7s %7s %7s %8s %8s %5s  %s\n",
       "mix", "policy", "load", "stall s", "preempt", "gap50", "gap95", "gap99",
@@ -86,19 +87,23 @@
       "%7.2f %8.0f %8.0f %5.3f ",
       row.mix.c_str(), row.policy.c_str(), row.load, r.stall_seconds,
       static_cast<unsigned long long>(r.preemptions),
-      r.gaps.At(0.5) * kMilliseconds, r.gaps.At(0.95) * kMilliseconds,
-      r.gaps.At(0.99) * kMilliseconds, r.verdict_first.At(0.95),
-      r.verdict_first.At(0.99), r.draft_first.At(0.5), r.draft_first.At(0.95),
-      r.goodput, r.token_rate, r.jain);
-  for (const auto& [why, count] : r.refused) {
-    std::printf(" %s:%llu", why.c_str(),
+      r.gaps.Quantile(0.5) * kMilliseconds,
+      r.gaps.Quantile(0.95) * kMilliseconds,
+      r.gaps.Quantile(0.99) * kMilliseconds,
+      r.verdict_first_token.Quantile(0.95),
+      r.verdict_first_token.Quantile(0.99), r.draft_first_token.Quantile(0.5),
+      r.draft_first_token.Quantile(0.95), r.goodput, r.token_rate,
+      r.jain_index);
+  for (const auto& [reason, count] : r.refused) {
+    std::printf(" %s:%llu", reason.c_str(),
                 static_cast<unsigned long long>(count));
   }
   std::printf(" of %llu\n", static_cast<unsigned long long>(r.arrived));
   std::fflush(stdout);
 }
 
-/// Runs what is listed, some at a time, and prints in the order of the list.
+/// Runs the added trials, up to `jobs` at a time, and prints the rows in the
+/// order in which they were added.
 class Table {
  public:
   explicit Table(std::size_t jobs) : jobs(jobs) {}
@@ -112,7 +117,7 @@
     std::vector<Row> rows;
     std::vector<std::future<Row>> running;
     std::size_t next = 0;
-    PrintHead();
+    PrintHeader();
     while (rows.size() < this->planned.size()) {
       while (next < this->planned.size() && running.size() < this->jobs) {
         const Planned& plan = this->planned[next++];
@@ -143,37 +148,39 @@
 nlohmann::json RunTables(const cxxopts::ParseResult& options) {
   TrialSettings base;
   base.seed = options["seed"].as<std::uint64_t>();
-  base.length = std::chrono::seconds(options["seconds"].as<int>());
-  const auto only = options["only"].as<std::string>();
+  base.duration = std::chrono::seconds(options["seconds"].as<int>());
+  const auto selected_policy = options["only"].as<std::string>();
   Table table(options["jobs"].as<std::size_t>());
   nlohmann::json capacities;
   for (const Mix& mix : {SwanCoast(), Syrtos()}) {
     const double capacity = MeasureCapacity(mix, base);
     capacities[mix.name] = capacity;
     std::printf("%s: capacity %.0f tokens/s, mean output %.0f tokens\n",
-                mix.name.c_str(), capacity, MeanOutput(mix));
-    const double rate = capacity / MeanOutput(mix);
+                mix.name.c_str(), capacity, MeanOutputTokens(mix));
+    const double rate = capacity / MeanOutputTokens(mix);
     const auto add = [&](const NamedPolicy& policy, double load) {
       TrialSettings settings = base;
-      settings.per_second = rate * load;
+      settings.requests_per_second = rate * load;
       table.Add(mix, policy, load, settings);
     };
     for (const double load : {0.1, 0.6, 0.9, 1.0, 1.1, 1.5}) {
       for (const NamedPolicy& policy : ComparedPolicies()) {
         const bool unloaded = load < 0.5 || load == 1.0;
-        const bool wanted = only.empty() || only == policy.name;
-        if (wanted && (!unloaded || policy.name == "limpetlink")) {
+        const bool selected =
+            selected_policy.empty() || selected_policy == policy.name;
+        if (selected && (!unloaded || policy.name == "limpetlink")) {
           add(policy, load);
         }
       }
     }
     for (const NamedPolicy& policy : Ablations()) {
-      const bool cap = policy.name == "all" || policy.name == "no batch cap";
-      if (options.count("ablate") != 0 && cap) {
+      const bool compares_batch_cap =
+          policy.name == "all" || policy.name == "no batch cap";
+      if (options.count("ablate") != 0 && compares_batch_cap) {
         TrialSettings settings = base;
-        settings.engine.stream_microseconds = kSlowStream;
-        settings.per_second = rate * kSlowLoad;
-        table.Add(mix, {"slow - " + policy.name, policy.make}, kSlowLoad,
+        settings.engine.stream_microseconds = kSlowStreamMicroseconds;
+        settings.requests_per_second = rate * kSlowEngineLoad;
+        table.Add(mix, {"slow - " + policy.name, policy.make}, kSlowEngineLoad,
                   settings);
       }
     }
@@ -200,33 +207,34 @@
 int Main(int argc, char** argv) {
   cxxopts::Options parser("limpet-bench-decisions",
                           "Compares admission policies in virtual time");
-  parser.add_options()("json", "write the figures to a file",
+  parser.add_options()("json", "write the results to a file",
                        cxxopts::value<std::string>()->default_value(""))(
       "seed", "seed of the arrivals",
       cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "seconds", "virtual seconds of a run, with its warm-up",
+      "seconds", "virtual seconds per run, including the warm-up",
       cxxopts::value<int>()->default_value("480"))(
-      "jobs", "runs at a time",
+      "jobs", "number of parallel runs",
       cxxopts::value<std::size_t>()->default_value("3"))(
-      "only", "one policy's name",
+      "only", "run only the policy of this name",
       cxxopts::value<std::string>()->default_value(""))(
-      "ablate", "also run ours without one mechanism each")(
-      "sweep", "also run ours with other bounds on the risk")(
-      "cost-only", "only time the decisions")("help", "print this");
+      "ablate", "also run the dispatcher with one mechanism disabled each")(
+      "sweep", "also run the dispatcher with other overflow risk limits")(
+      "cost-only", "only measure the cost of decisions and messages")(
+      "help", "print this");
   const auto options = parser.parse(argc, argv);
   if (options.count("help") != 0) {
     std::cout << parser.help();
     return 0;
   }
-  nlohmann::json figures;
+  nlohmann::json results;
   if (options.count("cost-only") == 0) {
-    figures = RunTables(options);
+    results = RunTables(options);
   }
-  figures["decision_cost"] = MeasureDecisionCosts();
-  figures["traffic"] = MeasureTraffic();
+  results["decision_cost"] = MeasureDecisionCosts();
+  results["traffic"] = MeasureTraffic();
   const auto file = options["json"].as<std::string>();
   if (!file.empty()) {
-    std::ofstream(file) << figures.dump(1) << '\n';
+    std::ofstream(file) << results.dump(1) << '\n';
   }
   return 0;
 }
--- a/bench/decisions_cost.cc
+++ b/bench/decisions_cost.cc
@@ -28,16 +28,16 @@
   return submit;
 }
 
-/// A dispatcher with as many streams as its workers carry on average.
-class Loaded {
+/// Dispatcher with the average number of streams per worker.
+class LoadedDispatcher {
  public:
-  explicit Loaded(std::size_t workers)
+  explicit LoadedDispatcher(std::size_t workers)
       : dispatcher({HostId{"host"}, FailureDomainId{"d"}, 1, nullptr}) {
     Mix mix = SwanCoast();
     mix.workers = workers;
-    this->document = std::make_shared<FleetDocument>(MixDocument(mix));
+    this->document = std::make_shared<FleetDocument>(MakeFleetDocument(mix));
     this->dispatcher.Step(this->now, Configure{this->document});
-    this->Report();
+    this->ReportAllWorkers();
     const auto streams = static_cast<std::uint64_t>(
         static_cast<double>(workers) * kStreamsPerWorker);
     for (std::uint64_t i = 1; i <= streams; ++i) {
@@ -48,7 +48,7 @@
     }
   }
 
-  void Report() {
+  void ReportAllWorkers() {
     for (const Upstream& upstream : this->document->upstreams) {
       WorkerReport report;
       report.worker = upstream.id;
@@ -61,20 +61,21 @@
 
   bool Submit() {
     const auto actions = this->dispatcher.Step(
-        this->now, MakeRequest(*this->document, ++this->last));
+        this->now, MakeRequest(*this->document, ++this->last_request));
     return !actions.empty() && std::holds_alternative<Place>(actions[0]);
   }
 
-  void End() {
-    this->dispatcher.Step(this->now, ReportEnded{RequestId{++this->ended},
-                                                 PlacementEnd::kFinished, 420});
+  void FinishOldest() {
+    this->dispatcher.Step(this->now,
+                          ReportEnded{RequestId{++this->last_finished},
+                                      PlacementEnd::kFinished, 420});
   }
 
   Dispatcher dispatcher;
   std::shared_ptr<const FleetDocument> document;
   Instant now{std::chrono::seconds(1)};
-  std::uint64_t last = 0;
-  std::uint64_t ended = 0;
+  std::uint64_t last_request = 0;
+  std::uint64_t last_finished = 0;
 };
 
 double SecondsSince(std::chrono::steady_clock::time_point start) {
@@ -89,8 +90,8 @@
   std::printf("%8s %8s %12s %12s %8s\n", "workers", "streams", "submit us",
               "end us", "placed");
   for (const std::size_t workers : {3U, 6U, 12U, 24U, 48U, 96U}) {
-    Loaded loaded(workers);
-    const std::uint64_t streams = loaded.last;
+    LoadedDispatcher loaded(workers);
+    const std::uint64_t streams = loaded.last_request;
     double submit = 0;
     double end = 0;
     std::size_t placed = 0;
@@ -100,7 +101,7 @@
       placed += loaded.Submit() ? 1 : 0;
       submit += SecondsSince(before_submit);
       const auto before_end = std::chrono::steady_clock::now();
-      loaded.End();
+      loaded.FinishOldest();
       end += SecondsSince(before_end);
     }
     submit *= kMicroseconds / kRounds;
--- a/bench/decisions_cost.h
+++ b/bench/decisions_cost.h
@@ -1,14 +1,14 @@
 /// @file
-/// @brief Times single decisions of a dispatcher that is in use.
+/// @brief Measures the cost of single decisions of a loaded dispatcher.
 #pragma once
 
 #include <nlohmann/json.hpp>
 
 namespace limpetlink::bench {
 
-/// @brief Times decisions at growing numbers of workers and streams; prints a
-/// table.
-/// @return microseconds for each size
+/// @brief Measures decisions at increasing numbers of workers and streams and
+/// prints a table.
+/// @return one row per size, with times in microseconds
 nlohmann::json MeasureDecisionCosts();
 
 }  // namespace limpetlink::bench
--- a/bench/decisions_mix.cc
+++ b/bench/decisions_mix.cc
@@ -7,35 +7,37 @@
 namespace {
 
 constexpr std::uint32_t kPrefixTokens = 160;
-constexpr double kPrefixPart = 0.7;  // of the requests share a prefix
-constexpr std::size_t kMeanDraws = 200000;
+constexpr double kPrefixFraction = 0.7;  // of requests that share a prefix
+constexpr std::size_t kMeanSamples = 200000;
 
-double Normal(Random& random) {
+double SampleNormal(Random& random) {
   const double u = std::max(random.Fraction(), 1e-12);
   const double v = random.Fraction();
   return std::sqrt(-2.0 * std::log(u)) * std::cos(6.283185307179586 * v);
 }
 
-std::uint32_t Draw(Random& random, const LengthShape& shape) {
-  const double value = shape.median * std::exp(shape.sigma * Normal(random));
+std::uint32_t SampleLength(Random& random,
+                           const LengthDistribution& distribution) {
+  const double value =
+      distribution.median * std::exp(distribution.sigma * SampleNormal(random));
   return static_cast<std::uint32_t>(
-      std::clamp<double>(value, shape.least, shape.most));
+      std::clamp<double>(value, distribution.min, distribution.max));
 }
 
-LengthShape Scaled(LengthShape shape, double factor) {
-  shape.median *= factor;
-  return shape;
+LengthDistribution ScaleMedian(LengthDistribution distribution, double factor) {
+  distribution.median *= factor;
+  return distribution;
 }
 
-std::size_t DrawOrganisation(Random& random, const Mix& mix) {
+std::size_t SampleOrganisation(Random& random, const Mix& mix) {
   double total = 0;
-  for (const double each : mix.demand) {
-    total += each;
+  for (const double weight : mix.demand) {
+    total += weight;
   }
-  double left = random.Fraction() * total;
+  double remaining = random.Fraction() * total;
   for (std::size_t i = 0; i < mix.demand.size(); ++i) {
-    left -= mix.demand[i];
-    if (left < 0) {
+    remaining -= mix.demand[i];
+    if (remaining < 0) {
       return i;
     }
   }
@@ -49,13 +51,13 @@
   mix.name = "swan-coast";
   mix.workers = 9;
   mix.weights = {0.9, 0.3, 0.9};
-  mix.verdict_part = 0.6;
+  mix.verdict_fraction = 0.6;
   mix.verdict_prompt = {250, 0.3, 170, 2000};
   mix.verdict_output = {12, 0.6, 2, 64};
   mix.draft_prompt = {700, 0.5, 170, 6000};
   mix.draft_output = {350, 0.9, 8, 32768};
   mix.demand = {4, 3, 2, 1, 1, 1, 1, 1, 1, 1};
-  mix.scale = {0.5, 1.5, 0.3, 6, 0.5, 1, 0.3, 2, 0.5, 3};
+  mix.length_scale = {0.5, 1.5, 0.3, 6, 0.5, 1, 0.3, 2, 0.5, 3};
   return mix;
 }
 
@@ -64,38 +66,40 @@
   mix.name = "syrtos";
   mix.workers = 12;
   mix.weights = {0.4, 0.9, 0.4};
-  mix.verdict_part = 0.4;
+  mix.verdict_fraction = 0.4;
   mix.verdict_prompt = {300, 0.3, 170, 2000};
   mix.verdict_output = {20, 0.6, 2, 96};
   mix.draft_prompt = {900, 0.6, 170, 8000};
   mix.draft_output = {600, 0.9, 8, 32768};
   mix.demand = {5, 3, 3, 1, 1, 1, 1, 1, 1, 1};
-  mix.scale = {0.5, 1.5, 0.3, 8, 0.5, 1, 0.3, 2, 0.5, 4};
+  mix.length_scale = {0.5, 1.5, 0.3, 8, 0.5, 1, 0.3, 2, 0.5, 4};
   return mix;
 }
 
-std::vector<Arrival> DrawArrivals(const Mix& mix, double per_second,
-                                  Duration length, std::uint64_t seed) {
+std::vector<Arrival> GenerateArrivals(const Mix& mix,
+                                      double requests_per_second,
+                                      Duration duration, std::uint64_t seed) {
   Random random(seed);
   std::vector<Arrival> arrivals;
   double at = 0;
   while (true) {
-    at -= std::log(std::max(random.Fraction(), 1e-12)) / per_second;
-    if (at >= ToSeconds(length)) {
+    at -= std::log(std::max(random.Fraction(), 1e-12)) / requests_per_second;
+    if (at >= ToSeconds(duration)) {
       return arrivals;
     }
     Arrival arrival;
     arrival.at = Instant{FromSeconds(at)};
-    arrival.organisation = DrawOrganisation(random, mix);
-    const bool verdict = random.Fraction() < mix.verdict_part;
+    arrival.organisation = SampleOrganisation(random, mix);
+    const bool verdict = random.Fraction() < mix.verdict_fraction;
     arrival.request_class =
         verdict ? RequestClass::kVerdict : RequestClass::kDraft;
     arrival.prompt_tokens =
-        Draw(random, verdict ? mix.verdict_prompt : mix.draft_prompt);
-    const double scale = mix.scale[arrival.organisation];
-    arrival.output_tokens = Draw(
-        random, verdict ? mix.verdict_output : Scaled(mix.draft_output, scale));
-    if (random.Fraction() < kPrefixPart) {
+        SampleLength(random, verdict ? mix.verdict_prompt : mix.draft_prompt);
+    const double scale = mix.length_scale[arrival.organisation];
+    arrival.output_tokens =
+        SampleLength(random, verdict ? mix.verdict_output
+                                     : ScaleMedian(mix.draft_output, scale));
+    if (random.Fraction() < kPrefixFraction) {
       arrival.prefix = static_cast<std::uint32_t>(1 + arrival.organisation * 2 +
                                                   (verdict ? 1 : 0));
       arrival.prefix_tokens = kPrefixTokens;
@@ -104,19 +108,19 @@
   }
 }
 
-double MeanOutput(const Mix& mix) {
+double MeanOutputTokens(const Mix& mix) {
   Random random(7);
   double sum = 0;
-  for (std::size_t i = 0; i < kMeanDraws; ++i) {
-    const bool verdict = random.Fraction() < mix.verdict_part;
-    const double scale = mix.scale[DrawOrganisation(random, mix)];
-    sum += Draw(random,
-                verdict ? mix.verdict_output : Scaled(mix.draft_output, scale));
+  for (std::size_t i = 0; i < kMeanSamples; ++i) {
+    const bool verdict = random.Fraction() < mix.verdict_fraction;
+    const double scale = mix.length_scale[SampleOrganisation(random, mix)];
+    sum += SampleLength(random, verdict ? mix.verdict_output
+                                        : ScaleMedian(mix.draft_output, scale));
   }
-  return sum / static_cast<double>(kMeanDraws);
+  return sum / static_cast<double>(kMeanSamples);
 }
 
-FleetDocument MixDocument(const Mix& mix) {
+FleetDocument MakeFleetDocument(const Mix& mix) {
   FleetDocument document;
   document.name = mix.name;
   document.weights = mix.weights;
--- a/bench/decisions_mix.h
+++ b/bench/decisions_mix.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The users' workloads as arrivals in virtual time.
+/// @brief Request mixes of the users, generated as arrivals in virtual time.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace limpetlink::bench {
 
-/// @brief One arrival.
+/// @brief One request and its arrival time.
 struct Arrival {
   Instant at;
   std::size_t organisation = 0;
@@ -22,47 +22,50 @@
   std::uint32_t prefix_tokens = 0;
 };
 
-/// @brief A log-normal length, cut to a range.
-struct LengthShape {
+/// @brief Log-normal distribution of lengths in tokens, clamped to a range.
+struct LengthDistribution {
   double median = 100;
   double sigma = 1.0;
-  std::uint32_t least = 1;
-  std::uint32_t most = 32768;
+  std::uint32_t min = 1;
+  std::uint32_t max = 32768;
 };
 
-/// @brief A user's mix.
+/// @brief Request mix of one user.
 struct Mix {
   std::string name;
   std::size_t workers = 9;
   Weights weights;
-  double verdict_part = 0.5;
-  LengthShape verdict_prompt;
-  LengthShape verdict_output;
-  LengthShape draft_prompt;
-  LengthShape draft_output;
-  std::vector<double> demand;  ///< of each organisation, relative
-  std::vector<double> scale;   ///< of each organisation's draft lengths
+  double verdict_fraction = 0.5;
+  LengthDistribution verdict_prompt;
+  LengthDistribution verdict_output;
+  LengthDistribution draft_prompt;
+  LengthDistribution draft_output;
+  std::vector<double> demand;        ///< relative, per organisation
+  std::vector<double> length_scale;  ///< draft length factor, per organisation
   std::uint32_t max_output_tokens = 32768;
   Duration verdict_deadline{std::chrono::seconds(10)};
   Duration draft_deadline{std::chrono::seconds(120)};
 };
 
-/// @brief The tasting panel's mix: stall and tail weigh most.
+/// @brief Mix of the tasting panel; weights stalls and tail latency most.
 Mix SwanCoast();
-/// @brief The committees' mix: preemptions weigh most.
+/// @brief Mix of the committees; weights preemptions most.
 Mix Syrtos();
 
-/// @brief Draws arrivals.
-/// @param per_second mean rate
-/// @param length until when they arrive
-/// @return in order of time; equal seeds give equal arrivals
-std::vector<Arrival> DrawArrivals(const Mix& mix, double per_second,
-                                  Duration length, std::uint64_t seed);
+/// @brief Generates a Poisson sequence of arrivals.
+/// @param requests_per_second mean arrival rate
+/// @param duration arrivals are generated up to this time
+/// @return arrivals ordered by time; equal seeds give equal arrivals
+std::vector<Arrival> GenerateArrivals(const Mix& mix,
+                                      double requests_per_second,
+                                      Duration duration, std::uint64_t seed);
 
-/// @return mean output tokens of a request of the mix, from a fixed draw
-double MeanOutput(const Mix& mix);
+/// @return mean output tokens per request, estimated from a sample with a fixed
+/// seed
+double MeanOutputTokens(const Mix& mix);
 
-/// @return the fleet document of the mix
-FleetDocument MixDocument(const Mix& mix);
+/// @return a fleet document with the workers, organisations and routes of the
+/// mix
+FleetDocument MakeFleetDocument(const Mix& mix);
 
 }  // namespace limpetlink::bench
--- a/bench/decisions_policies.h
+++ b/bench/decisions_policies.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The policies that are compared.
+/// @brief Admission policies compared by the benchmark.
 #pragma once
 
 #include <functional>
@@ -11,35 +11,40 @@
 
 namespace limpetlink::bench {
 
-/// @brief When a baseline gives an engine one more request.
+/// @brief Condition under which a baseline places a request at an engine.
 enum class BaselineRule {
-  kGreedy,     ///< what is in use now leaves room for the prompt
-  kWatermark,  ///< the same, up to 80% of memory
-  kWorstCase,  ///< the longest possible outputs all fit
-  kFirstCome,  ///< at once, to the engine with the fewest
+  kGreedy,     ///< the prompt fits into the memory not in use now
+  kWatermark,  ///< like kGreedy, with 80% of the memory
+  kWorstCase,  ///< all streams fit at their maximum output
+  kFirstCome,  ///< always, at the engine with the fewest streams
 };
 
-/// @brief A baseline: one first-come-first-served queue, exact knowledge of
-/// what each engine has in use, the least used engine first.
-MakeTrialPolicy Baseline(BaselineRule rule);
+/// @brief Creates a baseline policy.
+///
+/// A baseline has one first-come-first-served queue, knows the memory in use at
+/// each engine exactly and prefers the least used engine.
+TrialPolicyFactory MakeBaselinePolicy(BaselineRule rule);
 
-/// @brief The dispatcher of one host that owns every worker.
-/// @param adjust changes what follows from the weights; may be empty
-MakeTrialPolicy Dispatching(std::function<void(AdmissionPolicy&)> adjust = {});
+/// @brief Creates a policy that runs the dispatcher of one host that owns every
+/// worker.
+/// @param adjust modifies the admission policy derived from the weights; may be
+/// empty
+TrialPolicyFactory MakeDispatcherPolicy(
+    std::function<void(AdmissionPolicy&)> adjust = {});
 
-/// @brief A policy with its name.
+/// @brief A policy and its name in the tables.
 struct NamedPolicy {
   std::string name;
-  MakeTrialPolicy make;
+  TrialPolicyFactory make;
 };
 
-/// @return ours first, then the baselines
+/// @return the dispatcher, followed by the baselines
 std::vector<NamedPolicy> ComparedPolicies();
 
-/// @return ours with other bounds on the risk that memory overflows
+/// @return the dispatcher with other limits on the risk of memory overflow
 std::vector<NamedPolicy> RiskSweep();
 
-/// @return ours without one mechanism each
+/// @return the dispatcher unchanged, then with one mechanism disabled each
 std::vector<NamedPolicy> Ablations();
 
 }  // namespace limpetlink::bench
--- a/bench/decisions_traffic.h
+++ b/bench/decisions_traffic.h
@@ -1,14 +1,14 @@
 /// @file
-/// @brief Counts what dispatchers tell each other at the size designed for.
+/// @brief Measures the messages between dispatchers at the target size.
 #pragma once
 
 #include <nlohmann/json.hpp>
 
 namespace limpetlink::bench {
 
-/// @brief Runs hosts that share the workers of one model, and prints messages
-/// and bytes for each host and request.
-/// @return the figures for several loads
+/// @brief Simulates hosts that share the workers of one model and prints the
+/// messages and bytes per host and request.
+/// @return one row per load
 nlohmann::json MeasureTraffic();
 
 }  // namespace limpetlink::bench
--- a/bench/decisions_trial.cc
+++ b/bench/decisions_trial.cc
@@ -7,30 +7,30 @@
 namespace limpetlink::bench {
 namespace {
 
-constexpr double kSmallest = 0.0005;  // seconds
-constexpr double kRatio = 1.02;
-constexpr double kStallAfter = 0.27;  // seconds
-constexpr Duration kTickEvery = std::chrono::milliseconds(50);
+constexpr double kMinSeconds = 0.0005;  // seconds
+constexpr double kBucketRatio = 1.02;
+constexpr double kStallThreshold = 0.27;  // seconds
+constexpr Duration kTickInterval = std::chrono::milliseconds(50);
 
-enum class Kind { kArrival, kStep, kSample, kReport, kCache, kTick };
+enum class EventKind { kArrival, kStepEnd, kSample, kReport, kCache, kTick };
 
-struct Scheduled {
+struct ScheduledEvent {
   Instant at;
   std::uint64_t order = 0;
-  Kind kind = Kind::kTick;
+  EventKind kind = EventKind::kTick;
   std::size_t index = 0;
   EngineStatus status;
   EngineCacheChange change;
   std::uint64_t sequence = 0;
 };
 
-struct Later {
-  bool operator()(const Scheduled& a, const Scheduled& b) const {
+struct IsLater {
+  bool operator()(const ScheduledEvent& a, const ScheduledEvent& b) const {
     return a.at != b.at ? a.at > b.at : a.order > b.order;
   }
 };
 
-struct Progress {
+struct RequestState {
   std::size_t worker = 0;
   bool placed = false;
   bool ended = false;
@@ -38,74 +38,77 @@
   Instant last;
 };
 
-// Max-min share of the whole, when each may get no more than it asked for.
-std::vector<double> Due(const std::vector<double>& asked, double whole) {
-  std::vector<double> due(asked.size(), 0);
-  double left = whole;
-  for (std::size_t round = 0; round < asked.size(); ++round) {
-    std::size_t open = 0;
-    for (std::size_t i = 0; i < asked.size(); ++i) {
-      open += due[i] < asked[i] ? 1 : 0;
+// Max-min fair allocation of the total; none exceeds its request.
+std::vector<double> MaxMinShares(const std::vector<double>& requested,
+                                 double total) {
+  std::vector<double> shares(requested.size(), 0);
+  double remaining = total;
+  for (std::size_t round = 0; round < requested.size(); ++round) {
+    std::size_t unsatisfied = 0;
+    for (std::size_t i = 0; i < requested.size(); ++i) {
+      unsatisfied += shares[i] < requested[i] ? 1 : 0;
     }
-    if (open == 0 || left <= 0) {
+    if (unsatisfied == 0 || remaining <= 0) {
       break;
     }
-    const double each = left / static_cast<double>(open);
-    for (std::size_t i = 0; i < asked.size(); ++i) {
-      const double more = std::min(each, asked[i] - due[i]);
-      due[i] += more;
-      left -= more;
+    const double increment = remaining / static_cast<double>(unsatisfied);
+    for (std::size_t i = 0; i < requested.size(); ++i) {
+      const double granted = std::min(increment, requested[i] - shares[i]);
+      shares[i] += granted;
+      remaining -= granted;
     }
   }
-  return due;
+  return shares;
 }
 
-double Jain(const std::vector<double>& got, const std::vector<double>& asked) {
-  double whole = 0;
-  for (const double each : got) {
-    whole += each;
+double JainIndex(const std::vector<double>& received,
+                 const std::vector<double>& requested) {
+  double total = 0;
+  for (const double tokens : received) {
+    total += tokens;
   }
-  const auto due = Due(asked, whole);
+  const auto shares = MaxMinShares(requested, total);
   double sum = 0;
   double squares = 0;
-  for (std::size_t i = 0; i < got.size(); ++i) {
-    const double part = due[i] > 0 ? got[i] / due[i] : 1;
-    sum += part;
-    squares += part * part;
+  for (std::size_t i = 0; i < received.size(); ++i) {
+    const double fraction = shares[i] > 0 ? received[i] / shares[i] : 1;
+    sum += fraction;
+    squares += fraction * fraction;
   }
-  return squares > 0 ? sum * sum / (static_cast<double>(got.size()) * squares)
-                     : 0;
+  return squares > 0
+             ? sum * sum / (static_cast<double>(received.size()) * squares)
+             : 0;
 }
 
-/// The event loop of one run.
+/// Discrete-event simulation of one run.
 class Trial {
  public:
   Trial(const Mix& mix, const TrialSettings& settings)
       : mix(mix),
         settings(settings),
-        arrivals(DrawArrivals(mix, settings.per_second, settings.length,
-                              settings.seed)),
-        progress(arrivals.size()),
+        arrivals(GenerateArrivals(mix, settings.requests_per_second,
+                                  settings.duration, settings.seed)),
+        states(arrivals.size()),
         engines(mix.workers, EngineModel(settings.engine)),
         stepping(mix.workers, false),
         sequences(mix.workers, 0),
         random(settings.seed ^ 0xCACE),
-        got(mix.demand.size(), 0),
-        asked(mix.demand.size(), 0) {}
+        received_tokens(mix.demand.size(), 0),
+        requested_tokens(mix.demand.size(), 0) {}
 
-  TrialResult Run(const MakeTrialPolicy& make) {
-    this->policy =
-        make(this->mix, this->settings.engine, this->arrivals, this->Orders());
+  TrialResult Run(const TrialPolicyFactory& factory) {
+    this->policy = factory(this->mix, this->settings.engine, this->arrivals,
+                           this->MakeActions());
     for (std::size_t i = 0; i < this->arrivals.size(); ++i) {
-      this->Schedule(this->arrivals[i].at, Kind::kArrival, i);
+      this->Schedule(this->arrivals[i].at, EventKind::kArrival, i);
     }
     for (std::size_t i = 0; i < this->engines.size(); ++i) {
-      this->Schedule(Instant{}, Kind::kSample, i);
+      this->Schedule(Instant{}, EventKind::kSample, i);
     }
-    this->Schedule(Instant{}, Kind::kTick, 0);
-    const Instant end = Instant{} + this->settings.length;
+    this->Schedule(Instant{}, EventKind::kTick, 0);
+    const Instant end = Instant{} + this->settings.duration;
     while (!this->queue.empty() && this->queue.top().at < end) {
-      const Scheduled next = this->queue.top();
+      const ScheduledEvent next = this->queue.top();
       this->queue.pop();
       this->now = next.at;
       this->Handle(next);
@@ -114,79 +117,82 @@
   }
 
  private:
-  TrialOrders Orders() {
-    TrialOrders orders;
-    orders.place = [this](std::size_t request, std::size_t worker,
-                          std::int32_t priority) {
+  TrialActions MakeActions() {
+    TrialActions actions;
+    actions.place = [this](std::size_t request, std::size_t worker,
+                           std::int32_t priority) {
       this->Place(request, worker, priority);
     };
-    orders.refuse = [this](std::size_t request, const std::string& why) {
-      this->progress[request].ended = true;
-      if (this->Counts(request)) {
-        ++this->result.refused[why];
+    actions.refuse = [this](std::size_t request, const std::string& reason) {
+      this->states[request].ended = true;
+      if (this->IsMeasured(request)) {
+        ++this->result.refused[reason];
       }
     };
-    orders.set_priority = [this](std::size_t request, std::size_t worker,
-                                 std::int32_t priority) {
+    actions.set_priority = [this](std::size_t request, std::size_t worker,
+                                  std::int32_t priority) {
       this->engines[worker].SetPriority(request, priority);
     };
-    orders.cancel = [this](std::size_t request, std::size_t worker) {
+    actions.cancel = [this](std::size_t request, std::size_t worker) {
       this->engines[worker].Cancel(request);
     };
-    return orders;
+    return actions;
   }
 
-  void Schedule(Instant at, Kind kind, std::size_t index) {
-    Scheduled event;
+  void Schedule(Instant at, EventKind kind, std::size_t index) {
+    ScheduledEvent event;
     event.at = at;
-    event.order = ++this->orders;
+    event.order = ++this->scheduled_count;
     event.kind = kind;
     event.index = index;
     this->queue.push(event);
   }
 
-  bool Warm() const { return this->now >= Instant{} + this->settings.warm_up; }
-  bool Counts(std::size_t request) const {
+  bool IsMeasuring() const {
+    return this->now >= Instant{} + this->settings.warm_up;
+  }
+  bool IsMeasured(std::size_t request) const {
     return this->arrivals[request].at >= Instant{} + this->settings.warm_up;
   }
 
-  void Handle(const Scheduled& next) {
+  void Handle(const ScheduledEvent& next) {
     switch (next.kind) {
-      case Kind::kArrival:
-        this->Arrive(next.index);
+      case EventKind::kArrival:
+        this->HandleArrival(next.index);
         break;
-      case Kind::kStep:
-        this->StepDone(next.index);
+      case EventKind::kStepEnd:
+        this->HandleStepEnd(next.index);
         break;
-      case Kind::kSample:
-        this->Sample(next.index);
+      case EventKind::kSample:
+        this->SampleStatus(next.index);
         break;
-      case Kind::kReport:
-        this->policy.report(this->now, next.index, next.status);
+      case EventKind::kReport:
+        this->policy.on_report(this->now, next.index, next.status);
         break;
-      case Kind::kCache:
-        this->policy.cache(this->now, next.index, next.sequence, next.change);
+      case EventKind::kCache:
+        this->policy.on_cache_change(this->now, next.index, next.sequence,
+                                     next.change);
         break;
-      case Kind::kTick:
-        this->policy.tick(this->now);
-        this->Schedule(this->now + kTickEvery, Kind::kTick, 0);
+      case EventKind::kTick:
+        this->policy.on_tick(this->now);
+        this->Schedule(this->now + kTickInterval, EventKind::kTick, 0);
         break;
     }
   }
 
-  void Arrive(std::size_t request) {
+  void HandleArrival(std::size_t request) {
     const Arrival& arrival = this->arrivals[request];
-    if (this->Counts(request)) {
+    if (this->IsMeasured(request)) {
       ++this->result.arrived;
-      this->asked[arrival.organisation] +=
+      this->requested_tokens[arrival.organisation] +=
           arrival.prompt_tokens + arrival.output_tokens;
     }
-    this->policy.arrive(this->now, request);
+    this->policy.on_arrival(this->now, request);
   }
 
   void Place(std::size_t request, std::size_t worker, std::int32_t priority) {
     const Arrival& arrival = this->arrivals[request];
-    Progress& state = this->progress[request];
+    RequestState& state = this->states[request];
     state.worker = worker;
     state.placed = true;
     EngineJob job;
@@ -204,95 +210,96 @@
     if (this->stepping[worker]) {
       return;
     }
-    const Duration length = this->engines[worker].Begin();
-    if (length > Duration{0}) {
+    const Duration step_time = this->engines[worker].BeginStep();
+    if (step_time > Duration{0}) {
       this->stepping[worker] = true;
-      this->Schedule(this->now + length, Kind::kStep, worker);
+      this->Schedule(this->now + step_time, EventKind::kStepEnd, worker);
     }
   }
 
-  void StepDone(std::size_t worker) {
+  void HandleStepEnd(std::size_t worker) {
     this->stepping[worker] = false;
-    const auto tokens = this->engines[worker].Finish();
+    const auto tokens = this->engines[worker].FinishStep();
     for (const EngineCacheChange& change :
          this->engines[worker].TakeCacheChanges()) {
-      this->SendCache(worker, change);
+      this->ScheduleCacheEvent(worker, change);
     }
-    this->stepping[worker] = true;  // placements wait for the step's end
+    this->stepping[worker] = true;  // defers StartStep to after the loop
     for (const EngineToken& token : tokens) {
-      this->Token(token);
+      this->HandleToken(token);
     }
     this->stepping[worker] = false;
     this->StartStep(worker);
   }
 
-  void SendCache(std::size_t worker, const EngineCacheChange& change) {
+  void ScheduleCacheEvent(std::size_t worker, const EngineCacheChange& change) {
     const std::uint64_t sequence = ++this->sequences[worker];
-    if (this->random.Fraction() < this->settings.cache_lost) {
+    if (this->random.Fraction() < this->settings.cache_event_loss_rate) {
       return;
     }
-    Scheduled event;
-    event.at = this->now + this->settings.cache_lag;
-    event.order = ++this->orders;
-    event.kind = Kind::kCache;
+    ScheduledEvent event;
+    event.at = this->now + this->settings.cache_event_delay;
+    event.order = ++this->scheduled_count;
+    event.kind = EventKind::kCache;
     event.index = worker;
     event.change = change;
     event.sequence = sequence;
     this->queue.push(event);
   }
 
-  void Token(const EngineToken& token) {
+  void HandleToken(const EngineToken& token) {
     const auto request = static_cast<std::size_t>(token.id);
     const Arrival& arrival = this->arrivals[request];
-    Progress& state = this->progress[request];
-    this->Measure(arrival, state);
+    RequestState& state = this->states[request];
+    this->RecordLatency(arrival, state);
     state.tokens = token.produced;
     state.last = this->now;
     if (token.last) {
       state.ended = true;
-      if (this->Warm()) {
-        this->good_tokens += token.produced;
+      if (this->IsMeasuring()) {
+        this->completed_tokens += token.produced;
         ++this->result.completed;
       }
-      this->policy.ended(this->now, request, token.produced);
+      this->policy.on_finished(this->now, request, token.produced);
     } else if (token.produced == 1 || token.produced % 8 == 0) {
-      this->policy.produced(this->now, request, token.produced);
+      this->policy.on_progress(this->now, request, token.produced);
     }
   }
 
-  void Measure(const Arrival& arrival, const Progress& state) {
-    if (!this->Warm()) {
+  void RecordLatency(const Arrival& arrival, const RequestState& state) {
+    if (!this->IsMeasuring()) {
       return;
     }
-    ++this->all_tokens;
-    this->got[arrival.organisation] += 1;
+    ++this->produced_tokens;
+    this->received_tokens[arrival.organisation] += 1;
     if (state.tokens == 0) {
-      this->got[arrival.organisation] += arrival.prompt_tokens;
+      this->received_tokens[arrival.organisation] += arrival.prompt_tokens;
       const double waited = ToSeconds(this->now - arrival.at);
       const bool verdict = arrival.request_class == RequestClass::kVerdict;
-      (verdict ? this->result.verdict_first : this->result.draft_first)
+      (verdict ? this->result.verdict_first_token
+               : this->result.draft_first_token)
           .Add(waited);
       return;
     }
     const double gap = ToSeconds(this->now - state.last);
     this->result.gaps.Add(gap);
-    this->result.stall_seconds += std::max(0.0, gap - kStallAfter);
+    this->result.stall_seconds += std::max(0.0, gap - kStallThreshold);
   }
 
-  void Sample(std::size_t worker) {
-    Scheduled event;
-    event.at = this->now + this->settings.report_lag;
-    event.order = ++this->orders;
-    event.kind = Kind::kReport;
+  void SampleStatus(std::size_t worker) {
+    ScheduledEvent event;
+    event.at = this->now + this->settings.report_delay;
+    event.order = ++this->scheduled_count;
+    event.kind = EventKind::kReport;
     event.index = worker;
     event.status = this->engines[worker].Status();
     this->queue.push(event);
-    if (!this->preemptions_known && this->Warm()) {
-      this->preemptions_known = true;
-      this->preemptions_before = this->Preemptions();
+    if (!this->warm_up_preemptions_recorded && this->IsMeasuring()) {
+      this->warm_up_preemptions_recorded = true;
+      this->warm_up_preemptions = this->Preemptions();
     }
-    this->Schedule(this->now + this->settings.report_every, Kind::kSample,
-                   worker);
+    this->Schedule(this->now + this->settings.report_interval,
+                   EventKind::kSample, worker);
   }
 
   std::uint64_t Preemptions() const {
@@ -305,69 +312,74 @@
 
   TrialResult Finish() {
     const double seconds =
-        ToSeconds(this->settings.length - this->settings.warm_up);
-    // A stream that still stands still at the end has stalled until then.
-    const Instant end = Instant{} + this->settings.length;
-    for (const Progress& state : this->progress) {
+        ToSeconds(this->settings.duration - this->settings.warm_up);
+    // A stream without progress at the end of the run counts as stalled until
+    // then.
+    const Instant end = Instant{} + this->settings.duration;
+    for (const RequestState& state : this->states) {
       if (state.placed && !state.ended && state.tokens > 0) {
         const double gap = ToSeconds(end - state.last);
-        this->result.stall_seconds += std::max(0.0, gap - kStallAfter);
+        this->result.stall_seconds += std::max(0.0, gap - kStallThreshold);
       }
     }
-    this->result.preemptions = this->Preemptions() - this->preemptions_before;
-    this->result.goodput = static_cast<double>(this->good_tokens) / seconds;
-    this->result.token_rate = static_cast<double>(this->all_tokens) / seconds;
-    this->result.jain = Jain(this->got, this->asked);
+    this->result.preemptions = this->Preemptions() - this->warm_up_preemptions;
+    this->result.goodput =
+        static_cast<double>(this->completed_tokens) / seconds;
+    this->result.token_rate =
+        static_cast<double>(this->produced_tokens) / seconds;
+    this->result.jain_index =
+        JainIndex(this->received_tokens, this->requested_tokens);
     return this->result;
   }
 
   const Mix& mix;
   const TrialSettings& settings;
   std::vector<Arrival> arrivals;
-  std::vector<Progress> progress;
+  std::vector<RequestState> states;
   std::vector<EngineModel> engines;
   std::vector<bool> stepping;
   std::vector<std::uint64_t> sequences;
   Random random;
-  std::vector<double> got;
-  std::vector<double> asked;
+  std::vector<double> received_tokens;
+  std::vector<double> requested_tokens;
   TrialPolicy policy;
   TrialResult result;
-  std::priority_queue<Scheduled, std::vector<Scheduled>, Later> queue;
-  std::uint64_t orders = 0;
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, IsLater>
+      queue;
+  std::uint64_t scheduled_count = 0;
   Instant now;
-  std::uint64_t good_tokens = 0;
-  std::uint64_t all_tokens = 0;
-  bool preemptions_known = false;
-  std::uint64_t preemptions_before = 0;
+  std::uint64_t completed_tokens = 0;
+  std::uint64_t produced_tokens = 0;
+  bool warm_up_preemptions_recorded = false;
+  std::uint64_t warm_up_preemptions = 0;
 };
 
 }  // namespace
 
-void Quantiles::Add(double seconds) {
-  const double ratio = std::max(seconds, kSmallest) / kSmallest;
+void Histogram::Add(double seconds) {
+  const double ratio = std::max(seconds, kMinSeconds) / kMinSeconds;
   const auto bucket =
-      static_cast<std::size_t>(std::log(ratio) / std::log(kRatio));
+      static_cast<std::size_t>(std::log(ratio) / std::log(kBucketRatio));
   ++this->buckets[std::min(bucket, this->buckets.size() - 1)];
   ++this->count;
 }
 
-double Quantiles::At(double part) const {
-  const double wanted = part * static_cast<double>(this->count);
-  double seen = 0;
+double Histogram::Quantile(double fraction) const {
+  const double rank = fraction * static_cast<double>(this->count);
+  double cumulative = 0;
   for (std::size_t i = 0; i < this->buckets.size(); ++i) {
-    seen += this->buckets[i];
-    if (seen >= wanted && seen > 0) {
-      return kSmallest * std::pow(kRatio, static_cast<double>(i) + 0.5);
+    cumulative += this->buckets[i];
+    if (cumulative >= rank && cumulative > 0) {
+      return kMinSeconds * std::pow(kBucketRatio, static_cast<double>(i) + 0.5);
     }
   }
   return 0;
 }
 
 TrialResult RunTrial(const Mix& mix, const TrialSettings& settings,
-                     const MakeTrialPolicy& make) {
+                     const TrialPolicyFactory& factory) {
   Trial trial(mix, settings);
-  return trial.Run(make);
+  return trial.Run(factory);
 }
 
 }  // namespace limpetlink::bench
--- a/bench/decisions_trial.h
+++ b/bench/decisions_trial.h
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One run of a policy before modelled engines, and what is measured.
+/// @brief Simulates one run of a policy on modelled engines and measures it.
 #pragma once
 
 #include <array>
@@ -14,42 +14,44 @@
 
 namespace limpetlink::bench {
 
-/// @brief What a policy may order.
-struct TrialOrders {
+/// @brief Actions available to a policy.
+struct TrialActions {
   std::function<void(std::size_t request, std::size_t worker,
                      std::int32_t priority)>
       place;
-  std::function<void(std::size_t request, const std::string& why)> refuse;
+  std::function<void(std::size_t request, const std::string& reason)> refuse;
   std::function<void(std::size_t request, std::size_t worker,
                      std::int32_t priority)>
       set_priority;
   std::function<void(std::size_t request, std::size_t worker)> cancel;
 };
 
-/// @brief A policy as hooks; each is called at the time given.
+/// @brief Event handlers of a policy; each receives the current virtual time.
 struct TrialPolicy {
-  std::function<void(Instant, std::size_t request)> arrive;
+  std::function<void(Instant, std::size_t request)> on_arrival;
   std::function<void(Instant, std::size_t request, std::uint32_t tokens)>
-      produced;
-  std::function<void(Instant, std::size_t request, std::uint32_t tokens)> ended;
-  std::function<void(Instant, std::size_t worker, const EngineStatus&)> report;
+      on_progress;
+  std::function<void(Instant, std::size_t request, std::uint32_t tokens)>
+      on_finished;
+  std::function<void(Instant, std::size_t worker, const EngineStatus&)>
+      on_report;
   std::function<void(Instant, std::size_t worker, std::uint64_t sequence,
                      const EngineCacheChange&)>
-      cache;
-  std::function<void(Instant)> tick;
+      on_cache_change;
+  std::function<void(Instant)> on_tick;
 };
 
-/// @brief Makes a policy for one run.
-using MakeTrialPolicy =
+/// @brief Creates the policy for one run.
+using TrialPolicyFactory =
     std::function<TrialPolicy(const Mix&, const EngineSettings&,
-                              const std::vector<Arrival>&, TrialOrders)>;
+                              const std::vector<Arrival>&, TrialActions)>;
 
-/// @brief Counts values in geometric buckets, two in a hundred apart.
-class Quantiles {
+/// @brief Histogram with geometric buckets, each 2% wider than the previous.
+class Histogram {
  public:
   void Add(double seconds);
-  /// @return the value that a part of the values stays under, 0 when empty
-  double At(double part) const;
+  /// @return the quantile at the given fraction in seconds, 0 when empty
+  double Quantile(double fraction) const;
   std::uint64_t Count() const { return this->count; }
 
  private:
@@ -57,37 +59,37 @@
   std::uint64_t count = 0;
 };
 
-/// @brief What a run measured after its warm-up.
+/// @brief Measurements of a run after its warm-up.
 struct TrialResult {
-  double stall_seconds =
-      0;  ///< beyond ten times the stated time between tokens
+  double stall_seconds = 0;  ///< beyond ten times the nominal token gap
   std::uint64_t preemptions = 0;
-  Quantiles gaps;           ///< between tokens
-  Quantiles verdict_first;  ///< arrival to first token, verdicts
-  Quantiles draft_first;    ///< arrival to first token, drafts
-  double goodput = 0;       ///< tokens/s of outputs that were completed
-  double token_rate = 0;    ///< tokens/s of all outputs
-  double jain = 0;          ///< of what each organisation got against its due
+  Histogram gaps;                 ///< seconds between consecutive tokens
+  Histogram verdict_first_token;  ///< from arrival, verdicts
+  Histogram draft_first_token;    ///< from arrival, drafts
+  double goodput = 0;             ///< tokens/s of completed outputs
+  double token_rate = 0;          ///< tokens/s of all outputs
+  /// Jain's fairness index of received tokens relative to the fair share.
+  double jain_index = 0;
   std::uint64_t arrived = 0;
   std::uint64_t completed = 0;
   std::map<std::string, std::uint64_t> refused;
 };
 
-/// @brief How a run is made.
+/// @brief Settings of a run.
 struct TrialSettings {
-  double per_second = 10;
+  double requests_per_second = 10;
   Duration warm_up{std::chrono::seconds(120)};
-  Duration length{std::chrono::seconds(480)};  ///< with the warm-up
+  Duration duration{std::chrono::seconds(480)};  ///< includes the warm-up
   std::uint64_t seed = 1;
   EngineSettings engine;
-  Duration report_every{std::chrono::milliseconds(250)};
-  Duration report_lag{std::chrono::milliseconds(500)};
-  Duration cache_lag{std::chrono::seconds(1)};
-  double cache_lost = 0.02;  ///< part of the cache events that never come
+  Duration report_interval{std::chrono::milliseconds(250)};
+  Duration report_delay{std::chrono::milliseconds(500)};
+  Duration cache_event_delay{std::chrono::seconds(1)};
+  double cache_event_loss_rate = 0.02;  ///< fraction of cache events dropped
 };
 
-/// @brief Runs a policy. Deterministic.
+/// @brief Runs a policy; deterministic for equal settings.
 TrialResult RunTrial(const Mix& mix, const TrialSettings& settings,
-                     const MakeTrialPolicy& make);
+                     const TrialPolicyFactory& factory);
 
 }  // namespace limpetlink::bench
--- a/bench/engine_model.cc
+++ b/bench/engine_model.cc
@@ -4,7 +4,7 @@
 
 namespace limpetlink::bench {
 
-bool EngineModel::Before(const Job& a, const Job& b) {
+bool EngineModel::RunsBefore(const Job& a, const Job& b) {
   return a.job.priority != b.job.priority ? a.job.priority > b.job.priority
                                           : a.order < b.order;
 }
@@ -21,7 +21,7 @@
 void EngineModel::Submit(const EngineJob& job) {
   Job entry;
   entry.job = job;
-  entry.order = ++this->orders;
+  entry.order = ++this->submitted_count;
   this->waiting.push_back(entry);
 }
 
@@ -54,7 +54,7 @@
                                                         : 0;
 }
 
-void EngineModel::Remember(std::uint32_t prefix) {
+void EngineModel::CachePrefix(std::uint32_t prefix) {
   if (prefix == 0) {
     return;
   }
@@ -71,8 +71,8 @@
   }
 }
 
-void EngineModel::StartWaiting() {
-  std::sort(this->waiting.begin(), this->waiting.end(), Before);
+void EngineModel::AdmitWaiting() {
+  std::sort(this->waiting.begin(), this->waiting.end(), RunsBefore);
   while (!this->waiting.empty() &&
          this->running.size() < this->settings.max_batch) {
     Job& next = this->waiting.front();
@@ -83,8 +83,9 @@
     }
     next.pages = pages;
     this->used_pages += pages;
-    const std::uint32_t whole = next.job.prompt_tokens + next.produced;
-    next.prefill_left = whole - std::min(whole - 1, this->CachedTokens(next));
+    const std::uint32_t total_tokens = next.job.prompt_tokens + next.produced;
+    next.prefill_left =
+        total_tokens - std::min(total_tokens - 1, this->CachedTokens(next));
     this->running.push_back(next);
     this->waiting.erase(this->waiting.begin());
   }
@@ -92,7 +93,7 @@
 
 void EngineModel::Preempt() {
   const auto victim =
-      std::max_element(this->running.begin(), this->running.end(), Before);
+      std::max_element(this->running.begin(), this->running.end(), RunsBefore);
   Job job = *victim;
   this->running.erase(victim);
   this->used_pages -= job.pages;
@@ -105,9 +106,9 @@
   std::size_t i = 0;
   while (i < this->running.size()) {
     Job& job = this->running[i];
-    const std::uint64_t wanted =
+    const std::uint64_t required_pages =
         this->PagesFor(job.job.prompt_tokens + job.produced + 1);
-    if (wanted <= job.pages) {
+    if (required_pages <= job.pages) {
       ++i;
       continue;
     }
@@ -116,15 +117,15 @@
       i = 0;
       continue;
     }
-    job.pages = wanted;
+    job.pages = required_pages;
     ++this->used_pages;
     ++i;
   }
 }
 
-Duration EngineModel::Begin() {
+Duration EngineModel::BeginStep() {
   this->ReserveDecodePages();
-  this->StartWaiting();
+  this->AdmitWaiting();
   if (this->running.empty()) {
     return Duration{0};
   }
@@ -142,19 +143,19 @@
   return this->last_step;
 }
 
-std::vector<EngineToken> EngineModel::Finish() {
+std::vector<EngineToken> EngineModel::FinishStep() {
   std::vector<EngineToken> tokens;
-  std::vector<Job> kept;
+  std::vector<Job> unfinished;
   for (Job& job : this->running) {
-    const bool was_reading = job.prefill_left > 0;
+    const bool was_prefilling = job.prefill_left > 0;
     job.prefill_left -= job.prefill_now;
     job.prefill_now = 0;
     if (job.prefill_left > 0) {
-      kept.push_back(job);
+      unfinished.push_back(job);
       continue;
     }
-    if (was_reading) {
-      this->Remember(job.job.prefix);
+    if (was_prefilling) {
+      this->CachePrefix(job.job.prefix);
     }
     ++job.produced;
     const bool last = job.produced >= job.job.output_tokens;
@@ -162,10 +163,10 @@
     if (last) {
       this->used_pages -= job.pages;
     } else {
-      kept.push_back(job);
+      unfinished.push_back(job);
     }
   }
-  this->running = std::move(kept);
+  this->running = std::move(unfinished);
   return tokens;
 }
 
--- a/bench/tests/decisions_order_test.cc
+++ b/bench/tests/decisions_order_test.cc
@@ -5,51 +5,53 @@
 namespace limpetlink::bench {
 namespace {
 
-class OrderFixture {
+class PolicyOrderFixture {
  public:
-  OrderFixture() {
-    this->settings.length = std::chrono::seconds(180);
+  PolicyOrderFixture() {
+    this->settings.duration = std::chrono::seconds(180);
     this->settings.warm_up = std::chrono::seconds(60);
   }
 
  protected:
   TrialResult Run(const Mix& mix, double tokens_per_second,
-                  const MakeTrialPolicy& make) {
-    this->settings.per_second = tokens_per_second / MeanOutput(mix);
-    return RunTrial(mix, this->settings, make);
+                  const TrialPolicyFactory& factory) {
+    this->settings.requests_per_second =
+        tokens_per_second / MeanOutputTokens(mix);
+    return RunTrial(mix, this->settings, factory);
   }
 
   TrialSettings settings;
 };
 
-TEST_CASE_METHOD(OrderFixture,
+TEST_CASE_METHOD(PolicyOrderFixture,
                  "policies, overload, dispatcher stalls and preempts least",
                  "[bench]") {
   const Mix mix = SwanCoast();
-  constexpr double kTokensPerSecond = 29000;  // 1.5 of capacity
+  constexpr double kTokensPerSecond = 29000;  // 1.5 times the capacity
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
     this->settings.seed = seed;
-    const auto ours = this->Run(mix, kTokensPerSecond, Dispatching());
-    const auto greedy =
-        this->Run(mix, kTokensPerSecond, Baseline(BaselineRule::kGreedy));
-    const auto first =
-        this->Run(mix, kTokensPerSecond, Baseline(BaselineRule::kFirstCome));
-    const auto worst =
-        this->Run(mix, kTokensPerSecond, Baseline(BaselineRule::kWorstCase));
+    const auto dispatcher =
+        this->Run(mix, kTokensPerSecond, MakeDispatcherPolicy());
+    const auto greedy = this->Run(mix, kTokensPerSecond,
+                                  MakeBaselinePolicy(BaselineRule::kGreedy));
+    const auto first_come = this->Run(
+        mix, kTokensPerSecond, MakeBaselinePolicy(BaselineRule::kFirstCome));
+    const auto worst_case = this->Run(
+        mix, kTokensPerSecond, MakeBaselinePolicy(BaselineRule::kWorstCase));
     INFO("seed " << seed);
-    CHECK(ours.preemptions * 10 <= greedy.preemptions);
-    CHECK(ours.preemptions * 10 <= first.preemptions);
-    CHECK(ours.stall_seconds * 2 <= greedy.stall_seconds);
-    CHECK(ours.goodput >= 0.97 * greedy.goodput);
-    CHECK(ours.goodput >= 2 * worst.goodput);
-    CHECK(ours.verdict_first.At(0.99) * 10 <= greedy.draft_first.At(0.5));
-    CHECK(ours.jain >= 0.95);
+    CHECK(dispatcher.preemptions * 10 <= greedy.preemptions);
+    CHECK(dispatcher.preemptions * 10 <= first_come.preemptions);
+    CHECK(dispatcher.stall_seconds * 2 <= greedy.stall_seconds);
+    CHECK(dispatcher.goodput >= 0.97 * greedy.goodput);
+    CHECK(dispatcher.goodput >= 2 * worst_case.goodput);
+    CHECK(dispatcher.verdict_first_token.Quantile(0.99) * 10 <=
+          greedy.draft_first_token.Quantile(0.5));
+    CHECK(dispatcher.jain_index >= 0.95);
   }
 }
 
-TEST_CASE(
-    "engine model, memory is full, newest job is preempted and ends whole",
-    "[bench]") {
+TEST_CASE("engine model, memory is full, newest job is preempted and completes",
+          "[bench]") {
   EngineSettings settings;
   settings.memory_tokens = 320;
   EngineModel engine(settings);
@@ -61,19 +63,19 @@
     engine.Submit(job);
   }
   std::vector<std::uint32_t> produced(3, 0);
-  std::vector<std::uint64_t> ended;
-  while (engine.Begin() > Duration{0}) {
-    for (const EngineToken& token : engine.Finish()) {
+  std::vector<std::uint64_t> finished;
+  while (engine.BeginStep() > Duration{0}) {
+    for (const EngineToken& token : engine.FinishStep()) {
       CHECK(token.produced == produced[token.id] + 1);
       produced[token.id] = token.produced;
       if (token.last) {
-        ended.push_back(token.id);
+        finished.push_back(token.id);
       }
     }
   }
   CHECK(engine.Status().preemptions >= 1);
   CHECK(engine.Status().memory_tokens_used == 0);
-  CHECK(ended == std::vector<std::uint64_t>{1, 2});
+  CHECK(finished == std::vector<std::uint64_t>{1, 2});
 }
 
 }  // namespace
