--- a/bench/entry_slopes.cc
+++ b/bench/entry_slopes.cc
@@ -1,6 +1,6 @@
-// Measures what one entry host's core costs: processor time for a token, a
-// request and an idle second, memory for an open stream. Drives EntryHost
-// directly; no sockets, one thread.
+// Measures the cost of the core of one entry host: processor time per token,
+// request and idle second, and memory per open stream. Drives EntryHost
+// directly on one thread, without sockets.
 #include <malloc.h>
 
 #include <chrono>
@@ -22,7 +22,7 @@
 constexpr std::size_t kWorkers = 12;
 constexpr std::uint64_t kMemoryTokens = 400000;
 
-/// Processor time of this thread, in seconds.
+/// Returns the processor time of this thread in seconds.
 double ThreadSeconds() {
   timespec time{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
@@ -32,7 +32,7 @@
 
 std::size_t HeapBytes() { return mallinfo2().uordblks; }
 
-std::string FleetText(std::size_t organisations) {
+std::string FleetJson(std::size_t organisations) {
   json document = {
       {"name", "fleet"},
       {"change_id", "bench"},
@@ -62,16 +62,16 @@
   return document.dump();
 }
 
-/// One core and the few answers that it needs from outside.
+/// Runs one core and simulates the platform and the engines around it.
 class Driver {
  public:
   explicit Driver(std::size_t organisations)
-      : fleet(FleetText(organisations)), host(Settings()) {
-    this->Carry(this->host.Start(this->now));
-    this->PassTime(std::chrono::seconds(5));
+      : fleet(FleetJson(organisations)), host(Settings()) {
+    this->ExecuteActions(this->host.Start(this->now));
+    this->AdvanceTime(std::chrono::seconds(5));
   }
 
-  /// Opens a stream and returns the engine call's id and generation.
+  /// Opens a stream for an organisation.
   void OpenStream(std::size_t organisation) {
     CallerRequest request;
     request.id = RequestId{++this->last_request};
@@ -84,8 +84,8 @@
     this->Step(request);
   }
 
-  /// Sends the next token to every open stream.
-  void TokenToAll() {
+  /// Delivers the next token of every open stream.
+  void SendTokenToAll() {
     for (auto& [call, open] : this->streams) {
       const EngineFrame frame{
           {open.generation}, open.next++, " token", std::nullopt};
@@ -94,7 +94,7 @@
     }
   }
 
-  /// Ends every open stream.
+  /// Finishes every open stream.
   void FinishAll() {
     std::map<CallId, Open> ending = this->streams;
     this->streams.clear();
@@ -105,14 +105,15 @@
     }
   }
 
-  /// Lets virtual time pass with nothing from outside but the answers that are
-  /// due.
-  void PassTime(Duration time) {
+  /// Advances virtual time; the only external events are responses to calls
+  /// of the core.
+  void AdvanceTime(Duration time) {
     const Instant end = this->now + time;
     while (this->now < end) {
       this->now += std::chrono::milliseconds(10);
       if (this->host.NextWakeup() <= this->now) {
-        this->Carry(this->Timed([&] { return this->host.Tick(this->now); }));
+        this->ExecuteActions(
+            this->MeasureTime([&] { return this->host.Tick(this->now); }));
       }
     }
   }
@@ -142,7 +143,7 @@
   }
 
   template <typename Work>
-  Actions Timed(Work work) {
+  Actions MeasureTime(Work work) {
     const double before = ThreadSeconds();
     Actions actions = work();
     this->core_seconds += ThreadSeconds() - before;
@@ -150,18 +151,20 @@
   }
 
   void Step(const Event& event) {
-    this->Carry(this->Timed([&] { return this->host.Step(this->now, event); }));
+    this->ExecuteActions(
+        this->MeasureTime([&] { return this->host.Step(this->now, event); }));
   }
 
-  void Carry(const Actions& actions) {
+  void ExecuteActions(const Actions& actions) {
     for (const Action& action : actions) {
       if (const auto* call = std::get_if<HttpCall>(&action)) {
-        this->Answer(*call);
+        this->Respond(*call);
       }
     }
   }
 
-  void Whole(CallId id, int status, Headers headers, const std::string& body) {
+  void SendResponse(CallId id, int status, Headers headers,
+                    const std::string& body) {
     this->Step(HttpHead{id, status, std::move(headers)});
     if (!body.empty()) {
       this->Step(HttpChunk{id, body});
@@ -169,7 +172,7 @@
     this->Step(HttpDone{id, HttpEnd::kComplete});
   }
 
-  void Answer(const HttpCall& call) {
+  void Respond(const HttpCall& call) {
     const std::string& url = call.url;
     if (url.find("/v1/completions") != std::string::npos) {
       const json body = json::parse(call.body);
@@ -178,26 +181,26 @@
       this->Step(HttpHead{call.id, 200, {}});
     } else if (url.find("/v1/load") != std::string::npos) {
       ++this->report_calls;
-      this->Whole(call.id, 200, {},
-                  json{{"memory_tokens", kMemoryTokens},
-                       {"memory_tokens_used", 0},
-                       {"running", this->streams.size() / kWorkers},
-                       {"waiting", 0},
-                       {"preemptions", 0},
-                       {"step_ms", 20},
-                       {"draining", false}}
-                      .dump());
+      this->SendResponse(call.id, 200, {},
+                         json{{"memory_tokens", kMemoryTokens},
+                              {"memory_tokens_used", 0},
+                              {"running", this->streams.size() / kWorkers},
+                              {"waiting", 0},
+                              {"preemptions", 0},
+                              {"step_ms", 20},
+                              {"draining", false}}
+                             .dump());
     } else if (url.find("watch=") != std::string::npos) {
-      ++this->platform_calls;  // a watch waits; the client gives it up by
-                               // itself
+      // A watch gets no response; the client ends it by itself.
+      ++this->platform_calls;
     } else if (url.find("/v1/objects/fleet/") != std::string::npos) {
       ++this->platform_calls;
-      this->Whole(call.id, 200, {{"ETag", "\"1\""}}, this->fleet);
+      this->SendResponse(call.id, 200, {{"ETag", "\"1\""}}, this->fleet);
     } else if (url.find("/v1/hosts") != std::string::npos) {
       ++this->platform_calls;
-      this->Whole(call.id, 200, {}, R"({"hosts":[]})");
+      this->SendResponse(call.id, 200, {}, R"({"hosts":[]})");
     } else {
-      this->Whole(call.id, 204, {}, "");
+      this->SendResponse(call.id, 204, {}, "");
     }
   }
 
@@ -215,8 +218,8 @@
   driver.platform_calls = 0;
   driver.report_calls = 0;
   constexpr int kIdleSeconds = 60;
-  driver.PassTime(std::chrono::seconds(kIdleSeconds));
-  const double idle = driver.core_seconds / kIdleSeconds;
+  driver.AdvanceTime(std::chrono::seconds(kIdleSeconds));
+  const double idle_fraction = driver.core_seconds / kIdleSeconds;
   const double platform_calls =
       static_cast<double>(driver.platform_calls) / kIdleSeconds;
   const double report_calls =
@@ -227,29 +230,29 @@
   for (std::size_t i = 0; i < streams; ++i) {
     driver.OpenStream(i % organisations);
   }
-  const double opening = driver.core_seconds;
+  const double open_seconds = driver.core_seconds;
   const std::size_t opened = driver.Streams();
   const std::size_t heap_after = HeapBytes();
 
   driver.core_seconds = 0;
   for (std::size_t i = 0; i < tokens; ++i) {
-    driver.TokenToAll();
-    driver.PassTime(std::chrono::milliseconds(20));
+    driver.SendTokenToAll();
+    driver.AdvanceTime(std::chrono::milliseconds(20));
   }
-  const double relaying = driver.core_seconds;
+  const double relay_seconds = driver.core_seconds;
   driver.core_seconds = 0;
   driver.FinishAll();
-  const double closing = driver.core_seconds;
-  const auto relayed = static_cast<double>(opened * tokens);
+  const double finish_seconds = driver.core_seconds;
+  const auto relayed_tokens = static_cast<double>(opened * tokens);
   const auto count = static_cast<double>(opened);
   return {
       {"streams", streams},
       {"opened", opened},
       {"organisations", organisations},
-      {"token_us", relaying / relayed * 1e6},
-      {"request_us", (opening + closing) / count * 1e6},
+      {"token_us", relay_seconds / relayed_tokens * 1e6},
+      {"request_us", (open_seconds + finish_seconds) / count * 1e6},
       {"stream_bytes", static_cast<double>(heap_after - heap_before) / count},
-      {"idle_core_percent", idle * 100},
+      {"idle_core_percent", idle_fraction * 100},
       {"platform_calls_per_s", platform_calls},
       {"report_calls_per_s", report_calls}};
 }
@@ -258,14 +261,14 @@
 }  // namespace limpetlink::bench
 
 int main(int argc, char** argv) {
-  using limpetlink::bench::TakeRow;
+  using limpetlink::bench::AddRow;
   cxxopts::Options options("limpet-bench-entry",
-                           "Costs of one entry host's core");
+                           "Cost of the core of one entry host");
   const auto measure = [](const cxxopts::ParseResult& /*parsed*/,
-                          const TakeRow& take) {
+                          const AddRow& add_row) {
     for (const std::size_t streams : {50UL, 330UL, 1000UL}) {
       for (const std::size_t organisations : {10UL, 230UL}) {
-        take(limpetlink::bench::Measure(streams, organisations, 200));
+        add_row(limpetlink::bench::Measure(streams, organisations, 200));
       }
     }
   };
--- a/bench/fleet_document.cc
+++ b/bench/fleet_document.cc
@@ -1,5 +1,5 @@
-// Measures the fleet document at the target's size: bytes, time to parse and to
-// write, and the memory of one that is held.
+// Measures the fleet document at several sizes up to the target: bytes, time to
+// parse and to write, and heap memory of a parsed document.
 #include <malloc.h>
 
 #include <chrono>
@@ -58,25 +58,25 @@
 }
 
 nlohmann::json Measure(std::size_t upstreams) {
-  constexpr int kTimes = 5;
+  constexpr int kRepetitions = 5;
   const FleetDocument fleet = MakeFleet(upstreams);
   std::string text;
   const Clock::time_point writing = Clock::now();
-  for (int i = 0; i < kTimes; ++i) {
+  for (int i = 0; i < kRepetitions; ++i) {
     text = WriteFleet(fleet);
   }
-  const double write_ms = MillisecondsSince(writing) / kTimes;
-  std::size_t faults = 0;
+  const double write_ms = MillisecondsSince(writing) / kRepetitions;
+  std::size_t errors = 0;
   const Clock::time_point parsing = Clock::now();
-  for (int i = 0; i < kTimes; ++i) {
-    faults += ParseFleet(text).errors.size();
+  for (int i = 0; i < kRepetitions; ++i) {
+    errors += ParseFleet(text).errors.size();
   }
-  const double parse_ms = MillisecondsSince(parsing) / kTimes;
-  const std::size_t before = mallinfo2().uordblks;
-  const FleetParseResult held = ParseFleet(text);
-  const std::size_t heap = mallinfo2().uordblks - before;
-  return {{"upstreams", held.document.upstreams.size()},
-          {"faults", faults},
+  const double parse_ms = MillisecondsSince(parsing) / kRepetitions;
+  const std::size_t heap_before = mallinfo2().uordblks;
+  const FleetParseResult parsed = ParseFleet(text);
+  const std::size_t heap = mallinfo2().uordblks - heap_before;
+  return {{"upstreams", parsed.document.upstreams.size()},
+          {"faults", errors},
           {"bytes", text.size()},
           {"write_ms", write_ms},
           {"parse_ms", parse_ms},
@@ -87,13 +87,13 @@
 }  // namespace limpetlink::bench
 
 int main(int argc, char** argv) {
-  using limpetlink::bench::TakeRow;
+  using limpetlink::bench::AddRow;
   cxxopts::Options options("limpet-bench-document",
-                           "The fleet document at several sizes");
+                           "Cost of the fleet document at several sizes");
   const auto measure = [](const cxxopts::ParseResult& /*parsed*/,
-                          const TakeRow& take) {
+                          const AddRow& add_row) {
     for (const std::size_t upstreams : {24UL, 720UL, 6500UL}) {
-      take(limpetlink::bench::Measure(upstreams));
+      add_row(limpetlink::bench::Measure(upstreams));
     }
   };
   return limpetlink::bench::RunReport(std::move(options), argc, argv, measure);
--- a/bench/fleet_slopes.cc
+++ b/bench/fleet_slopes.cc
@@ -1,7 +1,7 @@
-// Measures what a fleet of composed entry host cores spends on control, at
-// several sizes: bytes between hosts, platform calls, load reports and
-// processor time, idle and under requests. One thread and virtual time; the
-// fakes' own time is not told apart from the cores', so it is an upper bound.
+// Measures the control overhead of a fleet of entry host cores at several
+// sizes: bytes between hosts, platform calls, load reports and processor time,
+// idle and under load. Runs on one thread in virtual time. The processor time
+// includes the fakes and is therefore an upper bound.
 #include <ctime>
 #include <nlohmann/json.hpp>
 
@@ -87,7 +87,7 @@
   options.tokens = 100;
   World world(options);
   if (!world.RunUntilReady()) {
-    return {{"hosts", hosts}, {"error", "the hosts never came to serve"}};
+    return {{"hosts", hosts}, {"error", "the hosts did not become ready"}};
   }
   world.RunFor(std::chrono::seconds(60));
   const Counted start = Count(world);
@@ -114,19 +114,20 @@
 }  // namespace limpetlink::bench
 
 int main(int argc, char** argv) {
-  using limpetlink::bench::TakeRow;
+  using limpetlink::bench::AddRow;
   cxxopts::Options options("limpet-bench-fleet",
-                           "Control costs of composed entry host cores");
+                           "Control overhead of a fleet of entry host cores");
   options.add_options()(
       "hosts", "Fleet sizes",
       cxxopts::value<std::vector<std::size_t>>()->default_value("6,24,60"))(
-      "requests", "Requests a second at each host; 0 for idle only",
+      "requests", "Requests per second and host; 0 for idle only",
       cxxopts::value<double>()->default_value("5"));
   const auto measure = [](const cxxopts::ParseResult& parsed,
-                          const TakeRow& take) {
+                          const AddRow& add_row) {
     for (const std::size_t hosts :
          parsed["hosts"].as<std::vector<std::size_t>>()) {
-      take(limpetlink::bench::Measure(hosts, parsed["requests"].as<double>()));
+      add_row(
+          limpetlink::bench::Measure(hosts, parsed["requests"].as<double>()));
     }
   };
   return limpetlink::bench::RunReport(std::move(options), argc, argv, measure);
--- a/bench/hosts.cc
+++ b/bench/hosts.cc
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Measures what membership and configuration cost a host and how fast
-/// they act, at several numbers of hosts.
+/// @brief Measures the cost per host and the reaction time of membership and
+/// configuration at several numbers of hosts.
 #include <malloc.h>
 #include <time.h>
 
@@ -25,8 +25,8 @@
 
 constexpr Duration kSteady = minutes(2);
 constexpr Duration kBetweenChanges = std::chrono::milliseconds(12343);
-constexpr double kBytesAroundFrame = 60;  ///< WebSocket, TCP and IP headers
-constexpr std::size_t kBytesOfRow = 100;
+constexpr double kFrameOverheadBytes = 60;  ///< WebSocket, TCP and IP headers
+constexpr std::size_t kBytesPerRow = 100;
 
 double ThreadSeconds() {
   timespec at{};
@@ -40,19 +40,19 @@
   return static_cast<double>(heap.uordblks + heap.hblkhd);
 }
 
-double Quantile(std::vector<double> values, double share) {
+double Quantile(std::vector<double> values, double fraction) {
   if (values.empty()) {
     return 0;
   }
   std::sort(values.begin(), values.end());
   const auto last = static_cast<double>(values.size() - 1);
-  return values[static_cast<std::size_t>(std::lround(last * share))];
+  return values[static_cast<std::size_t>(std::lround(last * fraction))];
 }
 
-/// @brief A document of about this size; `round` changes one row.
+/// @brief Returns a document of about `bytes` bytes; `round` changes one row.
 std::string Document(std::size_t bytes, std::uint64_t round) {
   Json document = {{"name", "today"}, {"change_id", std::to_string(round)}};
-  const std::size_t rows = std::max<std::size_t>(1, bytes / kBytesOfRow);
+  const std::size_t rows = std::max<std::size_t>(1, bytes / kBytesPerRow);
   for (std::size_t i = 0; i < rows; ++i) {
     const std::uint64_t port = i == round % rows ? round : 8000;
     document["upstreams"].push_back(
@@ -64,13 +64,13 @@
   return document.dump();
 }
 
-/// @brief Counts taken of a group at one moment.
+/// @brief Counters of a group at one point in time.
 struct Sample {
   double frames = 0;
   double bytes = 0;
   double processor = 0;
   double calls = 0;
-  double most_bytes = 0;  ///< of one host
+  double max_bytes = 0;  ///< maximum over the hosts
 };
 
 Sample Take(const HostGroup& group) {
@@ -79,8 +79,8 @@
     sample.frames += static_cast<double>(host.frames);
     sample.bytes += static_cast<double>(host.bytes);
     sample.processor += host.processor_seconds;
-    sample.most_bytes =
-        std::max(sample.most_bytes, static_cast<double>(host.bytes));
+    sample.max_bytes =
+        std::max(sample.max_bytes, static_cast<double>(host.bytes));
   }
   sample.calls = static_cast<double>(
       group.platform.reads + group.platform.writes + group.platform.watches);
@@ -95,7 +95,7 @@
   const double bytes = (after.bytes - before.bytes) * scale;
   return {{"frames_per_s_host", frames},
           {"frame_bytes_per_s_host", bytes},
-          {"wire_bytes_per_s_host", bytes + frames * kBytesAroundFrame},
+          {"wire_bytes_per_s_host", bytes + frames * kFrameOverheadBytes},
           {"processor_us_per_s_host",
            (after.processor - before.processor) * scale * 1e6},
           {"platform_calls_per_s_sum",
@@ -110,7 +110,7 @@
   return options;
 }
 
-/// @brief Runs until the views agree, looking a few times a second.
+/// @brief Runs until the views agree, polling every 200 ms, or until the limit.
 void RunUntilAgreed(HostGroup* group, Duration limit) {
   const Instant end = group->now + limit;
   while (!group->ViewsAgree() && group->now < end) {
@@ -124,7 +124,7 @@
   return Rates(*group, before, kSteady);
 }
 
-std::size_t MostNeighbours(const HostGroup& group) {
+std::size_t MaxNeighbours(const HostGroup& group) {
   std::size_t most = 0;
   for (const GroupHost& host : group.hosts) {
     if (host.up) {
@@ -216,7 +216,7 @@
   group.Run(seconds(30));
   Json result = {{"hosts", hosts}, {"seed", 42}, {"join_s", joined}};
   result["steady"] = MeasureSteady(&group);
-  result["most_neighbours"] = MostNeighbours(group);
+  result["most_neighbours"] = MaxNeighbours(group);
   const auto count_false = [&group] {
     std::uint64_t deaths = 0;
     for (const GroupHost& host : group.hosts) {
@@ -228,7 +228,7 @@
   result["changes"] = MeasureChanges(&group, bytes, changes);
   result["heap_bytes_host"] =
       (HeapBytes() - heap_before) / static_cast<double>(hosts);
-  std::cerr << result.dump() << std::endl;  // parts that are done
+  std::cerr << result.dump() << std::endl;  // progress
   result["deaths"] = MeasureDeaths(&group, deaths);
   std::cerr << result["deaths"].dump() << std::endl;
   if (partition) {
@@ -241,30 +241,32 @@
 }  // namespace limpetlink
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("limpet-bench-hosts",
-                           "Cost and speed of membership and configuration");
-  options.add_options()("json", "file to write",
+  cxxopts::Options options(
+      "limpet-bench-hosts",
+      "Cost and reaction time of membership and configuration");
+  options.add_options()("json", "write the results to a file",
                         cxxopts::value<std::string>()->default_value(""))(
       "hosts", "numbers of hosts",
       cxxopts::value<std::vector<std::size_t>>()->default_value("6,60,550"))(
-      "bytes", "size of the document",
+      "bytes", "size of the document in bytes",
       cxxopts::value<std::size_t>()->default_value("50000"))(
-      "changes", "changes of the document",
+      "changes", "number of document changes",
       cxxopts::value<int>()->default_value("10"))(
-      "partition", "also part the hosts for minutes and join them again",
+      "partition",
+      "also partition the hosts for minutes and heal the partition",
       cxxopts::value<bool>()->default_value("true"))(
-      "deaths", "hosts killed one after the other",
+      "deaths", "number of hosts killed one after the other",
       cxxopts::value<int>()->default_value("5"));
-  const auto given = options.parse(argc, argv);
+  const auto parsed = options.parse(argc, argv);
   nlohmann::json results = nlohmann::json::array();
   for (const std::size_t hosts :
-       given["hosts"].as<std::vector<std::size_t>>()) {
+       parsed["hosts"].as<std::vector<std::size_t>>()) {
     results.push_back(limpetlink::MeasureSize(
-        hosts, given["bytes"].as<std::size_t>(), given["changes"].as<int>(),
-        given["deaths"].as<int>(), given["partition"].as<bool>()));
+        hosts, parsed["bytes"].as<std::size_t>(), parsed["changes"].as<int>(),
+        parsed["deaths"].as<int>(), parsed["partition"].as<bool>()));
     std::cout << results.back().dump(2) << std::endl;
   }
-  const std::string file = given["json"].as<std::string>();
+  const std::string file = parsed["json"].as<std::string>();
   if (!file.empty()) {
     std::ofstream(file) << results.dump(2) << "\n";
   }
--- a/bench/idempotency.cc
+++ b/bench/idempotency.cc
@@ -1,6 +1,8 @@
 /// @file
-/// @brief Calls, batches, latency and processor time of the idempotency log in
-/// virtual time. Usage: limpet-bench-idempotency
+/// @brief Measures calls, batch sizes, latency and processor time of the
+/// idempotency log in virtual time.
+///
+/// Usage: limpet-bench-idempotency
 #include "idempotency/idempotency.h"
 
 #include <algorithm>
@@ -22,13 +24,14 @@
 
 struct BenchCase {
   const char* name;
-  int hosts;                 ///< each may write every shard
-  double orders_per_second;  ///< over all hosts
+  int hosts;                 ///< each may write to every shard
+  double orders_per_second;  ///< of all hosts
   Duration write_interval;
   std::uint32_t shards = 8;
 };
 
-/// Hosts over one object API that answers after 2 to 8 ms; orders take 100 ms.
+/// Simulates hosts that share an object API with a latency of 2 to 8 ms;
+/// orders take 100 ms.
 class LogBench {
  public:
   explicit LogBench(const BenchCase& bench) : bench(bench) {
@@ -61,20 +64,20 @@
  private:
   using Task = std::function<void()>;
 
-  void At(Instant when, Task task) {
+  void ScheduleAt(Instant when, Task task) {
     this->tasks.emplace(std::pair(when, this->next_task++), std::move(task));
   }
 
   void ScheduleOrder() {
     const double gap = -std::log(1.0 - this->random.Fraction()) /
                        this->bench.orders_per_second;
-    this->At(this->now + FromSeconds(gap), [this] {
-      this->Order();
+    this->ScheduleAt(this->now + FromSeconds(gap), [this] {
+      this->SubmitOrder();
       this->ScheduleOrder();
     });
   }
 
-  void Order() {
+  void SubmitOrder() {
     const std::size_t host = this->random.Below(this->hosts.size());
     const RequestId request{++this->orders};
     this->sent[request] = this->now;
@@ -91,11 +94,11 @@
   void Step(std::size_t host, const LogMessage& message) {
     for (const LogAction& action :
          this->hosts[host]->Step(this->now, message)) {
-      this->Carry(host, action);
+      this->ExecuteAction(host, action);
     }
     const Instant due = this->hosts[host]->NextWakeup();
     if (due != kNever) {
-      this->At(std::max(due, this->now), [this, host, due] {
+      this->ScheduleAt(std::max(due, this->now), [this, host, due] {
         if (this->hosts[host]->NextWakeup() == due) {
           this->Step(host, LogTick{});
         }
@@ -103,23 +106,23 @@
     }
   }
 
-  void Carry(std::size_t host, const LogAction& action) {
+  void ExecuteAction(std::size_t host, const LogAction& action) {
     LogOperationResult result;
     if (const auto* create = std::get_if<LogCreate>(&action)) {
       ++this->writes;
       result.operation = create->operation;
-      const bool made =
+      const bool created =
           this->objects.emplace(create->name, create->bytes).second;
       result.status =
-          made ? LogOperationStatus::kCreated : LogOperationStatus::kExists;
+          created ? LogOperationStatus::kCreated : LogOperationStatus::kExists;
     } else if (const auto* read = std::get_if<LogRead>(&action)) {
       ++this->reads;
       result.operation = read->operation;
       const auto found = this->objects.find(read->name);
-      const bool there = found != this->objects.end();
+      const bool exists = found != this->objects.end();
       result.status =
-          there ? LogOperationStatus::kFound : LogOperationStatus::kAbsent;
-      result.bytes = there ? found->second : "";
+          exists ? LogOperationStatus::kFound : LogOperationStatus::kAbsent;
+      result.bytes = exists ? found->second : "";
     } else if (const auto* list = std::get_if<LogList>(&action)) {
       ++this->reads;
       result.operation = list->operation;
@@ -134,35 +137,35 @@
       this->objects.erase(erase->name);
       return;
     } else {
-      this->Told(host, action);
+      this->HandleAction(host, action);
       return;
     }
-    const auto after =
+    const auto delay =
         std::chrono::microseconds(2000 + this->random.Below(6000));
-    this->At(this->now + after,
-             [this, host, result] { this->Step(host, result); });
+    this->ScheduleAt(this->now + delay,
+                     [this, host, result] { this->Step(host, result); });
   }
 
-  void Told(std::size_t host, const LogAction& action) {
+  void HandleAction(std::size_t host, const LogAction& action) {
     if (const auto* dispatch = std::get_if<DispatchClaim>(&action)) {
       const RequestId request = dispatch->request;
       this->waits.push_back(ToSeconds(this->now - this->sent.at(request)));
-      this->At(this->now + std::chrono::milliseconds(100),
-               [this, host, request] {
-                 StoredOutcome outcome;
-                 outcome.status = 201;
-                 outcome.headers = {{"Content-Type", "application/json"}};
-                 outcome.body = std::string(120, 'x');
-                 this->Step(host, RecordOutcome{request, outcome});
-               });
+      this->ScheduleAt(
+          this->now + std::chrono::milliseconds(100), [this, host, request] {
+            StoredOutcome outcome;
+            outcome.status = 201;
+            outcome.headers = {{"Content-Type", "application/json"}};
+            outcome.body = std::string(120, 'x');
+            this->Step(host, RecordOutcome{request, outcome});
+          });
     } else if (std::holds_alternative<RefuseClaim>(action)) {
       ++this->refused;
     }
   }
 
-  double Quantile(double part) const {
+  double Quantile(double fraction) const {
     const auto rank = static_cast<std::size_t>(
-        part * static_cast<double>(this->waits.size() - 1));
+        fraction * static_cast<double>(this->waits.size() - 1));
     return this->waits[rank] * 1000;
   }
 
@@ -171,12 +174,12 @@
     LogCounts sum;
     std::size_t keys = 0;
     for (const auto& host : this->hosts) {
-      const LogCounts part = host->Counts();
-      sum.segments += part.segments;
-      sum.records += part.records;
-      sum.collisions += part.collisions;
-      sum.stale_views += part.stale_views;
-      sum.checkpoints += part.checkpoints;
+      const LogCounts counts = host->Counts();
+      sum.segments += counts.segments;
+      sum.records += counts.records;
+      sum.collisions += counts.collisions;
+      sum.stale_views += counts.stale_views;
+      sum.checkpoints += counts.checkpoints;
       for (std::uint32_t i = 0; i < this->bench.shards; ++i) {
         keys += host->Shard(i).Keys().Size();
       }
--- a/bench/plain_relay.cc
+++ b/bench/plain_relay.cc
@@ -1,5 +1,5 @@
-// A relay with nothing between libmicrohttpd and libcurl: the yardstick of the
-// token relay. Usage: limpet-bench-plain-relay PORT UPSTREAM-URL
+// Minimal relay from libmicrohttpd to libcurl, the baseline for the token
+// relay. Usage: limpet-bench-plain-relay PORT UPSTREAM-URL
 #include <curl/curl.h>
 #include <microhttpd.h>
 #include <unistd.h>
@@ -15,10 +15,10 @@
 constexpr int kPollMilliseconds = 1000;
 constexpr std::size_t kBlockBytes = 16384;
 
-/// One request; its connection's own thread does all its work.
+/// One request, processed entirely on the thread of its connection.
 struct Relay {
   std::string body;
-  std::string answer;
+  std::string response;
   CURLM* multi = curl_multi_init();
   CURL* easy = curl_easy_init();
   bool done = false;
@@ -30,30 +30,30 @@
   }
 };
 
-std::size_t OnBody(char* bytes, std::size_t size, std::size_t count,
-                   void* relay) {
-  static_cast<Relay*>(relay)->answer.append(bytes, size * count);
+std::size_t OnUpstreamBody(char* bytes, std::size_t size, std::size_t count,
+                           void* relay) {
+  static_cast<Relay*>(relay)->response.append(bytes, size * count);
   return size * count;
 }
 
-ssize_t OnRead(void* state, std::uint64_t /*position*/, char* to,
-               std::size_t max) {
+ssize_t ReadResponse(void* state, std::uint64_t /*position*/, char* to,
+                     std::size_t max) {
   auto* const relay = static_cast<Relay*>(state);
-  while (relay->answer.empty() && !relay->done) {
+  while (relay->response.empty() && !relay->done) {
     int running = 0;
     curl_multi_perform(relay->multi, &running);
     relay->done = running == 0;
-    if (relay->answer.empty() && !relay->done) {
+    if (relay->response.empty() && !relay->done) {
       curl_multi_poll(relay->multi, nullptr, 0, kPollMilliseconds, nullptr);
     }
   }
-  if (relay->answer.empty()) {
+  if (relay->response.empty()) {
     return MHD_CONTENT_READER_END_OF_STREAM;
   }
-  const std::size_t taken = std::min(max, relay->answer.size());
-  std::copy_n(relay->answer.data(), taken, to);
-  relay->answer.erase(0, taken);
-  return static_cast<ssize_t>(taken);
+  const std::size_t copied = std::min(max, relay->response.size());
+  std::copy_n(relay->response.data(), copied, to);
+  relay->response.erase(0, copied);
+  return static_cast<ssize_t>(copied);
 }
 
 void FreeRelay(void* relay) { delete static_cast<Relay*>(relay); }
@@ -75,11 +75,11 @@
   const std::string target = *static_cast<std::string*>(upstream) + url;
   curl_easy_setopt(relay->easy, CURLOPT_URL, target.c_str());
   curl_easy_setopt(relay->easy, CURLOPT_POSTFIELDS, relay->body.c_str());
-  curl_easy_setopt(relay->easy, CURLOPT_WRITEFUNCTION, &OnBody);
+  curl_easy_setopt(relay->easy, CURLOPT_WRITEFUNCTION, &OnUpstreamBody);
   curl_easy_setopt(relay->easy, CURLOPT_WRITEDATA, relay);
   curl_multi_add_handle(relay->multi, relay->easy);
   MHD_Response* const response = MHD_create_response_from_callback(
-      MHD_SIZE_UNKNOWN, kBlockBytes, &OnRead, relay, &FreeRelay);
+      MHD_SIZE_UNKNOWN, kBlockBytes, &ReadResponse, relay, &FreeRelay);
   MHD_add_response_header(response, "Content-Type", "text/event-stream");
   const MHD_Result result =
       MHD_queue_response(connection, MHD_HTTP_OK, response);
--- a/bench/relay.cc
+++ b/bench/relay.cc
@@ -1,5 +1,6 @@
-// The token relay's cost beside a plain libmicrohttpd-to-libcurl relay, in one
-// run. Usage: limpet-bench-relay [STREAMS [TOKENS]]; needs the programs in
+// Compares the cost of the token relay with that of a plain relay from
+// libmicrohttpd to libcurl in the same run.
+// Usage: limpet-bench-relay [STREAMS [TOKENS]]; needs the programs in
 // build/bin.
 #include <unistd.h>
 
@@ -28,14 +29,14 @@
 
 constexpr std::chrono::milliseconds kStagger{3};
 
-struct Figures {
+struct Measurements {
   double first_token_p50 = 0;  ///< seconds
   double first_token_p95 = 0;  ///< seconds
   double tokens = 0;
   double seconds = 0;
   double processor_seconds = 0;
   std::size_t failed = 0;
-  std::string problem;  ///< the last refusal that came
+  std::string last_error;  ///< last error response received
 };
 
 double ProcessorSeconds(pid_t pid) {
@@ -52,15 +53,15 @@
   return ticks / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
-/// Reads many streams and notes when the first token of each came.
+/// Reads many streams and records the arrival of the first token of each.
 class Streams {
  public:
   explicit Streams(std::size_t count)
-      : begun(count + 1),
+      : started(count + 1),
         first(count + 1),
         tokens(count + 1),
         client(HttpClientSettings{},
-               [this](const Event& event) { this->Take(event); }) {
+               [this](const Event& event) { this->HandleEvent(event); }) {
     this->client.Start();
   }
 
@@ -76,7 +77,7 @@
                   std::to_string(length) + R"(","max_tokens":)" +
                   std::to_string(length) + R"(,"stream":true,"generation":")" +
                   url.substr(url.rfind(':')) + std::to_string(id) + R"("})";
-      this->begun[id] = SteadyNow();
+      this->started[id] = SteadyNow();
       this->client.Take(std::move(call));
       this->client.Flush();
       std::this_thread::sleep_for(kStagger);
@@ -85,24 +86,24 @@
     this->changed.wait(lock, [&] { return this->ended == count; });
   }
 
-  Figures Result(int length) const {
-    Figures figures;
-    std::vector<double> waits;
-    for (std::size_t id = 1; id < this->begun.size(); ++id) {
-      figures.tokens += static_cast<double>(this->tokens[id]);
-      figures.failed +=
+  Measurements Result(int length) const {
+    Measurements measurements;
+    std::vector<double> latencies;
+    for (std::size_t id = 1; id < this->started.size(); ++id) {
+      measurements.tokens += static_cast<double>(this->tokens[id]);
+      measurements.failed +=
           this->tokens[id] < static_cast<std::size_t>(length) ? 1 : 0;
-      waits.push_back(ToSeconds(this->first[id] - this->begun[id]));
+      latencies.push_back(ToSeconds(this->first[id] - this->started[id]));
     }
-    figures.problem = this->problem;
-    std::sort(waits.begin(), waits.end());
-    figures.first_token_p50 = waits[waits.size() / 2];
-    figures.first_token_p95 = waits[waits.size() * 95 / 100];
-    return figures;
+    measurements.last_error = this->last_error;
+    std::sort(latencies.begin(), latencies.end());
+    measurements.first_token_p50 = latencies[latencies.size() / 2];
+    measurements.first_token_p95 = latencies[latencies.size() * 95 / 100];
+    return measurements;
   }
 
  private:
-  void Take(const Event& event) {
+  void HandleEvent(const Event& event) {
     if (const auto* const chunk = std::get_if<HttpChunk>(&event)) {
       const std::size_t id = chunk->id.value;
       if (this->first[id] == Instant{} &&
@@ -110,11 +111,11 @@
         this->first[id] = SteadyNow();
       }
       if (chunk->bytes.find("\"code\"") != std::string::npos) {
-        this->problem = chunk->bytes;
+        this->last_error = chunk->bytes;
       }
-      for (std::size_t at = chunk->bytes.find("\"text\":\" t");
-           at != std::string::npos;
-           at = chunk->bytes.find("\"text\":\" t", at + 1)) {
+      for (std::size_t position = chunk->bytes.find("\"text\":\" t");
+           position != std::string::npos;
+           position = chunk->bytes.find("\"text\":\" t", position + 1)) {
         ++this->tokens[id];
       }
     } else if (std::holds_alternative<HttpDone>(event)) {
@@ -127,36 +128,37 @@
   std::mutex mutex;
   std::condition_variable changed;
   std::size_t ended = 0;
-  std::string problem;  ///< the last refusal that came
-  std::vector<Instant> begun;
+  std::string last_error;  ///< last error response received
+  std::vector<Instant> started;
   std::vector<Instant> first;
   std::vector<std::size_t> tokens;
   HttpClient client;
 };
 
-Figures Measure(const std::string& url, pid_t pid, std::size_t count,
-                int length) {
+Measurements Measure(const std::string& url, pid_t pid, std::size_t count,
+                     int length) {
   Streams streams(count);
   const double processor = ProcessorSeconds(pid);
-  const Instant begun = SteadyNow();
+  const Instant started = SteadyNow();
   streams.Run(url, "tasting-model", count, length);
-  Figures figures = streams.Result(length);
-  figures.seconds = ToSeconds(SteadyNow() - begun);
-  figures.processor_seconds = ProcessorSeconds(pid) - processor;
-  return figures;
+  Measurements measurements = streams.Result(length);
+  measurements.seconds = ToSeconds(SteadyNow() - started);
+  measurements.processor_seconds = ProcessorSeconds(pid) - processor;
+  return measurements;
 }
 
-void Print(const char* name, const Figures& figures) {
+void Print(const char* name, const Measurements& measurements) {
   std::printf(
       "%-12s tokens %.0f in %.2f s, first token p50 %.1f ms p95 %.1f ms, "
       "processor %.2f s, "
       "%.0f tokens/s a core, %zu short\n",
-      name, figures.tokens, figures.seconds, figures.first_token_p50 * 1e3,
-      figures.first_token_p95 * 1e3, figures.processor_seconds,
-      figures.tokens / std::max(figures.processor_seconds, 1e-3),
-      figures.failed);
-  if (!figures.problem.empty()) {
-    std::printf("last refusal: %s\n", figures.problem.c_str());
+      name, measurements.tokens, measurements.seconds,
+      measurements.first_token_p50 * 1e3, measurements.first_token_p95 * 1e3,
+      measurements.processor_seconds,
+      measurements.tokens / std::max(measurements.processor_seconds, 1e-3),
+      measurements.failed);
+  if (!measurements.last_error.empty()) {
+    std::printf("last refusal: %s\n", measurements.last_error.c_str());
   }
 }
 
@@ -176,8 +178,8 @@
   return document;
 }
 
-HttpResponse Ask(const std::string& method, const std::string& url,
-                 const std::string& body = "") {
+HttpResponse SendRequest(const std::string& method, const std::string& url,
+                         const std::string& body = "") {
   HttpCall call;
   call.id = CallId{1};
   call.method = method;
@@ -187,7 +189,7 @@
 }
 
 void WaitFor(const std::string& url) {
-  while (Ask("GET", url).status != 200) {
+  while (SendRequest("GET", url).status != 200) {
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
 }
@@ -210,8 +212,8 @@
                            {std::to_string(plain_port), engine_url}, log);
   WaitFor(engine_url + "/v1/load");
   WaitFor(platform_url + "/v1/hosts");
-  Ask("PUT", platform_url + "/v1/objects/fleet/demo",
-      Document(engine_url).dump());
+  SendRequest("PUT", platform_url + "/v1/objects/fleet/demo",
+              Document(engine_url).dump());
   const ChildProcess host(
       bin + "limpet-entry",
       {"--host-id", "entry-1", "--failure-domain", "perth-a", "--listen", entry,
@@ -220,24 +222,24 @@
        "--platform", platform_url, "--fleet", "demo"},
       log);
   WaitFor("http://" + entry + "/readyz");
-  const Figures direct =
+  const Measurements direct =
       Measure(engine_url + "/v1/completions", engine.Pid(), count, length);
-  const Figures relay =
+  const Measurements relay =
       Measure("http://" + Address(plain_port) + "/v1/completions", plain.Pid(),
               count, length);
-  const Figures ours =
+  const Measurements limpet_entry =
       Measure("http://" + entry + "/v1/completions", host.Pid(), count, length);
   Print("engine", direct);
   Print("plain relay", relay);
-  Print("limpet-entry", ours);
+  Print("limpet-entry", limpet_entry);
   std::printf(
       "limpet-entry / plain relay: tokens/s a core %.2f, first token p50 %.2f, "
       "p95 %.2f\n",
-      (ours.tokens / ours.processor_seconds) /
+      (limpet_entry.tokens / limpet_entry.processor_seconds) /
           (relay.tokens / relay.processor_seconds),
-      ours.first_token_p50 / relay.first_token_p50,
-      ours.first_token_p95 / relay.first_token_p95);
-  return ours.failed == 0 && relay.failed == 0 ? 0 : 1;
+      limpet_entry.first_token_p50 / relay.first_token_p50,
+      limpet_entry.first_token_p95 / relay.first_token_p95);
+  return limpet_entry.failed == 0 && relay.failed == 0 ? 0 : 1;
 }
 
 }  // namespace
--- a/bench/report.h
+++ b/bench/report.h
@@ -1,6 +1,5 @@
 /// @file
-/// @brief What the benchmarks share: their options, and rows printed and
-/// written as JSON.
+/// @brief Command line options and JSON output shared by the benchmarks.
 #pragma once
 
 #include <cxxopts.hpp>
@@ -12,18 +11,18 @@
 
 namespace limpetlink::bench {
 
-/// @brief Takes one row of a report.
-using TakeRow = std::function<void(nlohmann::json row)>;
+/// @brief Adds one row to a report.
+using AddRow = std::function<void(nlohmann::json row)>;
 
-/// @brief Runs a benchmark: prints each row when it is there, and writes all to
-/// --json FILE.
-/// @param measure makes the rows, given the parsed options
-/// @param options may hold more options; --json and --help are added
-/// @return the program's exit code
+/// @brief Runs a benchmark, prints each row as soon as it is available and
+/// writes all rows to the file given with --json.
+/// @param options options of the benchmark; --json and --help are added
+/// @param measure produces the rows from the parsed options
+/// @return the exit code of the program
 inline int RunReport(cxxopts::Options options, int argc, char** argv,
                      const std::function<void(const cxxopts::ParseResult&,
-                                              const TakeRow&)>& measure) {
-  options.add_options()("json", "File for the results",
+                                              const AddRow&)>& measure) {
+  options.add_options()("json", "Write the results to this file",
                         cxxopts::value<std::string>()->default_value(""))(
       "help", "Print this help");
   const auto parsed = options.parse(argc, argv);
--- a/bench/streams.cc
+++ b/bench/streams.cc
@@ -1,5 +1,6 @@
 /// @file
-/// @brief What a token costs an entry host: identity checks, resume token, SSE.
+/// @brief Measures the cost per token at an entry host: identity checks, resume
+/// token and SSE.
 #include "streams/streams.h"
 
 #include <chrono>
@@ -11,18 +12,18 @@
 
 constexpr std::uint64_t kTokens = 400000;
 constexpr std::uint64_t kSlowTokens = 40000;
-constexpr double kTokensPerSecond = 12200;  // of a host at the target size
+constexpr double kTokensPerSecond = 12200;  // per host at the target size
 
 double SecondsSince(std::chrono::steady_clock::time_point start) {
   return std::chrono::duration<double>(std::chrono::steady_clock::now() - start)
       .count();
 }
 
-void Print(const char* what, double seconds, std::uint64_t tokens) {
-  const double each = seconds / static_cast<double>(tokens);
+void Print(const char* label, double seconds, std::uint64_t tokens) {
+  const double seconds_per_token = seconds / static_cast<double>(tokens);
   std::printf("%-44s %8.3f us a token, %6.3f %% of a core at %.0f tokens/s\n",
-              what, each * 1e6, each * kTokensPerSecond * 100,
-              kTokensPerSecond);
+              label, seconds_per_token * 1e6,
+              seconds_per_token * kTokensPerSecond * 100, kTokensPerSecond);
 }
 
 void MeasureMinting(const ResumeToken& token) {
@@ -36,9 +37,9 @@
   Print("resume token, one MAC a generation", SecondsSince(start), kTokens);
   start = std::chrono::steady_clock::now();
   for (std::uint64_t i = 0; i < kSlowTokens; ++i) {
-    ResumeToken one = token;
-    one.offset = i;
-    bytes += MintResumeToken("secret", organisation, one).size();
+    ResumeToken token_at_offset = token;
+    token_at_offset.offset = i;
+    bytes += MintResumeToken("secret", organisation, token_at_offset).size();
   }
   Print("resume token, one MAC a token (not used)", SecondsSince(start),
         kSlowTokens);
@@ -75,8 +76,8 @@
   std::uint64_t frames = 0;
   const auto start = std::chrono::steady_clock::now();
   constexpr std::size_t kChunk = 512;
-  for (std::size_t at = 0; at < wire.size(); at += kChunk) {
-    const auto events = decoder.Feed(wire.substr(at, kChunk));
+  for (std::size_t offset = 0; offset < wire.size(); offset += kChunk) {
+    const auto events = decoder.Feed(wire.substr(offset, kChunk));
     for (const SseEvent& event : *events) {
       frames += ParseEngineFrame(event).ok() ? 1 : 0;
     }
