--- a/src/configuration/apply.cc
+++ b/src/configuration/apply.cc
@@ -114,7 +114,8 @@
   this->retry_at = now + kRetryDelay;
 }
 
-bool FleetChangeOperation::OnPlatform(Instant now, const StoreResult& result) {
+bool FleetChangeOperation::OnStoreResult(Instant now,
+                                         const StoreResult& result) {
   if (this->op == 0 || result.op.value != this->op) {
     return false;
   }
--- a/src/configuration/detail/apply.h
+++ b/src/configuration/detail/apply.h
@@ -82,7 +82,7 @@
 /// FleetChangeOperation operation(&platform, change, limit);
 /// operation.Start(now);
 /// while (!operation.Result()) {
-///   operation.OnPlatform(now, result);  // each result of the client
+///   operation.OnStoreResult(now, result);  // each result of the client
 ///   operation.Tick(now);
 /// }
 /// @endcode
@@ -99,7 +99,7 @@
 
   /// @brief Handles the result of a store operation.
   /// @return whether this change issued the operation
-  bool OnPlatform(Instant now, const StoreResult& result);
+  bool OnStoreResult(Instant now, const StoreResult& result);
 
   /// @brief Sends due retries and enforces the time limit.
   void Tick(Instant now);
--- a/src/configuration/detail/store.h
+++ b/src/configuration/detail/store.h
@@ -89,7 +89,7 @@
 /// ConfigurationStore store(settings, &platform, validate);
 /// store.Start(now);
 /// store.OnHosts(now, membership.Live(), membership.Neighbours());
-/// if (store.OnPlatform(now, result)) { ... }  // each result of the client
+/// if (store.OnStoreResult(now, result)) { ... }  // each result of the client
 /// store.OnPeer(now, envelope.from, envelope.payload);
 /// for (auto& action : store.TakeActions()) { ... }
 /// @endcode
@@ -114,7 +114,7 @@
 
   /// @brief Handles the result of a store operation.
   /// @return whether this object issued the operation
-  bool OnPlatform(Instant now, const StoreResult& result);
+  bool OnStoreResult(Instant now, const StoreResult& result);
 
   /// @brief Handles a payload of kind kConfiguration. Counts and drops
   /// malformed ones.
--- a/src/configuration/store.cc
+++ b/src/configuration/store.cc
@@ -80,7 +80,7 @@
   ++this->counters.platform_calls;
 }
 
-bool ConfigurationStore::OnPlatform(Instant now, const StoreResult& result) {
+bool ConfigurationStore::OnStoreResult(Instant now, const StoreResult& result) {
   this->DetectFreeze(now);
   if (result.op.value != this->pending_op || this->pending_op == 0) {
     return false;
--- a/src/configuration/tests/apply_test.cc
+++ b/src/configuration/tests/apply_test.cc
@@ -70,7 +70,7 @@
       }
     }
     for (const StoreResult& result : this->client->TakeResults()) {
-      operation->OnPlatform(this->now, result);
+      operation->OnStoreResult(this->now, result);
     }
   }
 
--- a/src/configuration/tests/store_test.cc
+++ b/src/configuration/tests/store_test.cc
@@ -48,7 +48,7 @@
       }
     }
     for (const StoreResult& result : this->client.TakeResults()) {
-      this->store.OnPlatform(this->now, result);
+      this->store.OnStoreResult(this->now, result);
     }
   }
 
--- a/src/entry/cluster_sync.cc
+++ b/src/entry/cluster_sync.cc
@@ -126,9 +126,9 @@
 void ClusterSync::Flush() {
   const Instant now = this->shared.now;
   for (const StoreResult& result : this->platform.TakeResults()) {
-    if (!this->configuration.OnPlatform(now, result) &&
-        !this->membership.OnPlatform(now, result) && this->on_platform_result) {
-      this->on_platform_result(result);
+    if (!this->configuration.OnStoreResult(now, result) &&
+        !this->membership.OnStoreResult(now, result) && this->on_store_result) {
+      this->on_store_result(result);
     }
   }
   for (const ConfigurationAction& action : this->configuration.TakeActions()) {
--- a/src/entry/detail/cluster_sync.h
+++ b/src/entry/detail/cluster_sync.h
@@ -86,7 +86,7 @@
 
   /// @brief Called with results of platform operations that belong neither to
   /// the configuration nor to the membership. Set by the host.
-  std::function<void(const StoreResult&)> on_platform_result;
+  std::function<void(const StoreResult&)> on_store_result;
 
   /// @brief Called after the fleet document or the live hosts changed. Set by
   /// the host.
--- a/src/entry/detail/service_handler.h
+++ b/src/entry/detail/service_handler.h
@@ -47,7 +47,7 @@
   void OnHead(RequestId id, const HttpHead& head);
   void OnChunk(RequestId id, const HttpChunk& chunk);
   void OnDone(RequestId id, const HttpDone& done);
-  void OnPlatform(const StoreResult& result);
+  void OnStoreResult(const StoreResult& result);
   void OnWallClock(const WallClockRead& clock);
 
   /// @brief Ends a request at its deadline with a final response.
--- a/src/entry/entry_host.cc
+++ b/src/entry/entry_host.cc
@@ -28,8 +28,8 @@
             },
             [this] { return this->cluster.Members().IsCurrent(); }),
         endpoints(shared, cluster, [this] { this->BeginDrain(); }) {
-    this->cluster.on_platform_result = [this](const StoreResult& result) {
-      this->services.OnPlatform(result);
+    this->cluster.on_store_result = [this](const StoreResult& result) {
+      this->services.OnStoreResult(result);
     };
     this->cluster.on_change = [this] { this->report_poller.Refresh(); };
   }
--- a/src/entry/service_handler.cc
+++ b/src/entry/service_handler.cc
@@ -470,7 +470,7 @@
 
 // ---- The idempotency log ----
 
-void ServiceHandler::OnPlatform(const StoreResult& result) {
+void ServiceHandler::OnStoreResult(const StoreResult& result) {
   for (const LogOperationResult& ended :
        this->storage.OnStoreResult(this->shared.now, result)) {
     this->StepLog(ended);
--- a/src/leases/detail/lease.h
+++ b/src/leases/detail/lease.h
@@ -58,7 +58,7 @@
 /// @code
 /// Lease lease(settings, &platform);
 /// lease.Start(now);
-/// lease.OnPlatform(now, result);  // for each result of the client
+/// lease.OnStoreResult(now, result);  // for each result of the client
 /// lease.Tick(now);                // no later than NextWakeup()
 /// if (lease.Held(now)) { Act(lease.Epoch()); }
 /// @endcode
@@ -76,7 +76,7 @@
 
   /// @brief Handles the result of a store operation.
   /// @return whether the operation belonged to this lease
-  bool OnPlatform(Instant now, const StoreResult& result);
+  bool OnStoreResult(Instant now, const StoreResult& result);
 
   /// @brief Advances the timers; detects a lease that expired during a pause of
   /// the process.
--- a/src/leases/lease.cc
+++ b/src/leases/lease.cc
@@ -75,7 +75,7 @@
   this->sent = now;
 }
 
-bool Lease::OnPlatform(Instant now, const StoreResult& result) {
+bool Lease::OnStoreResult(Instant now, const StoreResult& result) {
   if (this->op == 0 || result.op.value != this->op) {
     return false;
   }
--- a/src/leases/tests/lease_test.cc
+++ b/src/leases/tests/lease_test.cc
@@ -75,7 +75,7 @@
     holder.lease->Tick(local);
     holder.client->Tick(local);
     for (const StoreResult& result : holder.client->TakeResults()) {
-      holder.lease->OnPlatform(local, result);
+      holder.lease->OnStoreResult(local, result);
     }
     for (const Action& action : holder.client->TakeActions()) {
       if (const auto* call = std::get_if<HttpCall>(&action)) {
--- a/src/membership/detail/membership.h
+++ b/src/membership/detail/membership.h
@@ -118,7 +118,7 @@
 /// Membership membership(settings, &platform);
 /// membership.Start(now);
 /// membership.OnPeer(now, envelope.from, envelope.payload);
-/// membership.OnPlatform(now, result);
+/// membership.OnStoreResult(now, result);
 /// membership.Tick(now);  // by NextWakeup()
 /// for (auto& action : membership.TakeActions()) { ... }
 /// @endcode
@@ -137,7 +137,7 @@
 
   /// @brief Handles the result of a platform operation.
   /// @return whether the membership had started the operation
-  bool OnPlatform(Instant now, const StoreResult& result);
+  bool OnStoreResult(Instant now, const StoreResult& result);
 
   /// @brief Applies a host list of the platform.
   void OnHostList(Instant now, const std::vector<ListedHost>& hosts);
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -107,7 +107,7 @@
   }
 }
 
-bool Membership::OnPlatform(Instant now, const StoreResult& result) {
+bool Membership::OnStoreResult(Instant now, const StoreResult& result) {
   if (this->list_operation == 0 || result.op.value != this->list_operation) {
     return false;
   }
--- a/src/operators/platform_access.cc
+++ b/src/operators/platform_access.cc
@@ -63,7 +63,7 @@
   while (!apply.Result()) {
     const bool progressed =
         this->RunPendingCalls([&](const StoreResult& result) {
-          apply.OnPlatform(this->hooks.now(), result);
+          apply.OnStoreResult(this->hooks.now(), result);
         });
     if (!progressed && !apply.Result()) {
       this->SleepUntil(std::min(apply.NextWakeup(), this->client.NextWakeup()));
--- a/src/placement/placement_host.cc
+++ b/src/placement/placement_host.cc
@@ -131,8 +131,8 @@
 
 Actions PlacementHost::ProcessResults() {
   for (const StoreResult& result : this->platform.TakeResults()) {
-    if (!this->lease.OnPlatform(this->now, result)) {
-      this->configuration.OnPlatform(this->now, result);
+    if (!this->lease.OnStoreResult(this->now, result)) {
+      this->configuration.OnStoreResult(this->now, result);
     }
   }
   for (const ConfigurationAction& action : this->configuration.TakeActions()) {
--- a/src/placement/tests/placement_test.cc
+++ b/src/placement/tests/placement_test.cc
@@ -113,7 +113,7 @@
       }
     }
     for (const StoreResult& result : host->client->TakeResults()) {
-      host->lease->OnPlatform(this->now, result);
+      host->lease->OnStoreResult(this->now, result);
     }
   }
 
--- a/tests/hosts/host_group.cc
+++ b/tests/hosts/host_group.cc
@@ -204,8 +204,8 @@
 
 void HostGroup::RouteResult(std::size_t index, const StoreResult& result) {
   GroupHost& host = this->hosts[index];
-  if (!host.membership->OnPlatform(this->now, result)) {
-    host.configuration->OnPlatform(this->now, result);
+  if (!host.membership->OnStoreResult(this->now, result)) {
+    host.configuration->OnStoreResult(this->now, result);
   }
 }
 
