--- a/src/event_loop/caller_server.cc
+++ b/src/event_loop/caller_server.cc
@@ -46,7 +46,7 @@
       return;
     }
     if (this->reply_aborted) {
-      // The bytes queued so far are still written; the missing last chunk tells
+      // The bytes queued so far are still written; the missing last chunk shows
       // the caller that the reply is incomplete.
       this->close_after = true;
     }
--- a/src/gateway/detail/retry_decision.h
+++ b/src/gateway/detail/retry_decision.h
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Decides after each attempt whether a request may be retried and what
-/// its caller may be told.
+/// @brief Decides after each attempt whether a request may be retried and
+/// which result its caller receives.
 #pragma once
 
 #include "base/base.h"
--- a/src/routing/load_table.cc
+++ b/src/routing/load_table.cc
@@ -5,7 +5,7 @@
 namespace limpetlink {
 namespace {
 
-// A report older than this says nothing about the current requests of other
+// A report older than this doesn't reflect the current requests of other
 // hosts. Memory usage is valid for longer: an old figure is still more accurate
 // than this host's own requests alone.
 constexpr Duration kReportLifetime = std::chrono::milliseconds(1500);
