--- a/src/operators/fleet_changes.cc
+++ b/src/operators/fleet_changes.cc
@@ -41,10 +41,10 @@
   }
   FleetParseResult parsed = ParseFleet(read.bytes);
   if (!parsed.Ok()) {
-    const FleetValidationError& fault = parsed.errors.front();
+    const FleetValidationError& error = parsed.errors.front();
     return MakeStatus(ErrorCode::kFleetInvalid,
                       absl::StrCat("version ", read.version, ", ",
-                                   fault.pointer, " ", fault.message));
+                                   error.pointer, " ", error.message));
   }
   return StoredFleet{read.version, read.bytes, std::move(parsed.document)};
 }
--- a/src/operators/platform_access.cc
+++ b/src/operators/platform_access.cc
@@ -58,19 +58,20 @@
 }
 
 ApplyResult PlatformAccess::Apply(const FleetChange& change, Duration limit) {
-  FleetChangeOperation apply(&this->client, change, limit);
-  apply.Start(this->hooks.now());
-  while (!apply.Result()) {
+  FleetChangeOperation operation(&this->client, change, limit);
+  operation.Start(this->hooks.now());
+  while (!operation.Result()) {
     const bool progressed =
         this->RunPendingCalls([&](const StoreResult& result) {
-          apply.OnStoreResult(this->hooks.now(), result);
+          operation.OnStoreResult(this->hooks.now(), result);
         });
-    if (!progressed && !apply.Result()) {
-      this->SleepUntil(std::min(apply.NextWakeup(), this->client.NextWakeup()));
-      apply.Tick(this->hooks.now());
+    if (!progressed && !operation.Result()) {
+      this->SleepUntil(
+          std::min(operation.NextWakeup(), this->client.NextWakeup()));
+      operation.Tick(this->hooks.now());
     }
   }
-  return *apply.Result();
+  return *operation.Result();
 }
 
 void PlatformAccess::Execute(const HttpCall& call) {
