--- a/src/entry/cluster_sync.cc
+++ b/src/entry/cluster_sync.cc
@@ -75,7 +75,7 @@
 // ---- Events from the adapters ----
 
 void ClusterSync::OnPeerFrame(const PeerFrame& frame) {
-  const absl::StatusOr<PeerEnvelope> envelope = this->peer_gate.Read(frame);
+  const absl::StatusOr<PeerEnvelope> envelope = this->peer_reader.Read(frame);
   if (!envelope.ok()) {
     this->shared.metrics.Add(Counter::kPeerFramesRefused);
     return;
--- a/src/entry/detail/cluster_sync.h
+++ b/src/entry/detail/cluster_sync.h
@@ -111,7 +111,7 @@
   MetadataStoreClient platform;
   ConfigurationStore configuration;
   Membership membership;
-  PeerFrameReader peer_gate;
+  PeerFrameReader peer_reader;
   std::map<UpstreamId, std::set<LeavingSource>>
       leaving;  ///< leaving upstreams with the reporting sources
   std::map<std::string, std::uint64_t>
--- a/src/entry/log_storage.cc
+++ b/src/entry/log_storage.cc
@@ -12,7 +12,7 @@
 
 constexpr std::uint32_t kPageSize = 1000;
 
-LogOperationStatus LogOperationEndOf(const StoreResult& result) {
+LogOperationStatus LogOperationStatusOf(const StoreResult& result) {
   const bool write =
       result.verb == StoreVerb::kPut || result.verb == StoreVerb::kDelete;
   switch (result.status) {
@@ -93,7 +93,7 @@
     this->RequestNextPage(now, std::move(finished));
     return {};
   }
-  return {{finished.operation, LogOperationEndOf(result), result.bytes,
+  return {{finished.operation, LogOperationStatusOf(result), result.bytes,
            std::move(finished.names)}};
 }
 
