--- a/programs/limpet_entry/gateway_process.cc
+++ b/programs/limpet_entry/gateway_process.cc
@@ -90,7 +90,7 @@
  private:
   EventLoopHooks Hooks() {
     EventLoopHooks hooks;
-    hooks.http_limits = [this] { return this->host.Bounds(); };
+    hooks.http_limits = [this] { return this->host.CurrentHttpLimits(); };
     hooks.accepts_callers = [this] { return this->host.AcceptsCallers(); };
     hooks.reload = [this] { this->Reload(); };
     hooks.log = [this](const LogLine& line, Instant now) {
--- a/src/entry/completion_handler.cc
+++ b/src/entry/completion_handler.cc
@@ -225,7 +225,7 @@
 
 // ---- Events from the adapters ----
 
-void CompletionHandler::OnCallerGone(RequestId id) {
+void CompletionHandler::OnCallerDisconnected(RequestId id) {
   Completion& completion = this->completions.at(id);
   // After a pause the caller may have resumed this generation at another host.
   this->StepStream(completion,
@@ -236,7 +236,8 @@
   this->Close(completion, "caller_gone");
 }
 
-void CompletionHandler::OnCallerDrained(const CallerBufferDrained& drained) {
+void CompletionHandler::OnCallerBufferDrained(
+    const CallerBufferDrained& drained) {
   this->StepStream(this->completions.at(drained.id),
                    StreamBufferDrained{drained.buffered});
 }
--- a/src/entry/detail/completion_handler.h
+++ b/src/entry/detail/completion_handler.h
@@ -32,8 +32,8 @@
   void OnSetPriority(const SetPriority& priority);
 
   // ---- Events from the adapters ----
-  void OnCallerGone(RequestId id);
-  void OnCallerDrained(const CallerBufferDrained& drained);
+  void OnCallerDisconnected(RequestId id);
+  void OnCallerBufferDrained(const CallerBufferDrained& drained);
   void OnHead(RequestId id, const HttpHead& head);
   void OnChunk(RequestId id, const HttpChunk& chunk);
   void OnDone(RequestId id, const HttpDone& done);
--- a/src/entry/detail/service_handler.h
+++ b/src/entry/detail/service_handler.h
@@ -43,7 +43,7 @@
   void OnWaiting(const Waiting& waiting);
 
   // ---- Events ----
-  void OnCallerGone(RequestId id);
+  void OnCallerDisconnected(RequestId id);
   void OnHead(RequestId id, const HttpHead& head);
   void OnChunk(RequestId id, const HttpChunk& chunk);
   void OnDone(RequestId id, const HttpDone& done);
--- a/src/entry/entry_host.cc
+++ b/src/entry/entry_host.cc
@@ -168,17 +168,17 @@
     return std::nullopt;
   }
 
-  void OnEvent(const CallerDisconnected& gone) {
-    if (this->completions.Owns(gone.id)) {
-      this->completions.OnCallerGone(gone.id);
-    } else if (this->services.Owns(gone.id)) {
-      this->services.OnCallerGone(gone.id);
+  void OnEvent(const CallerDisconnected& disconnected) {
+    if (this->completions.Owns(disconnected.id)) {
+      this->completions.OnCallerDisconnected(disconnected.id);
+    } else if (this->services.Owns(disconnected.id)) {
+      this->services.OnCallerDisconnected(disconnected.id);
     }
   }
 
   void OnEvent(const CallerBufferDrained& drained) {
     if (this->completions.Owns(drained.id)) {
-      this->completions.OnCallerDrained(drained);
+      this->completions.OnCallerBufferDrained(drained);
     }
   }
 
--- a/src/entry/service_handler.cc
+++ b/src/entry/service_handler.cc
@@ -261,7 +261,7 @@
 
 // ---- Events ----
 
-void ServiceHandler::OnCallerGone(RequestId id) {
+void ServiceHandler::OnCallerDisconnected(RequestId id) {
   ServiceRequest& request = this->requests.at(id);
   request.caller_left = true;
   this->shared.requests.SetCallerLeft(id);
--- a/src/gateway/detail/forwarding.h
+++ b/src/gateway/detail/forwarding.h
@@ -34,9 +34,9 @@
   /// Time until the process must have ended; Duration::max() unless it is
   /// shutting down.
   std::function<Duration(Instant)> time_to_end;
-  /// A worker's own report says that it is leaving.
+  /// Called when a worker's own report announces that it is leaving.
   std::function<void(Instant, const UpstreamId&)> worker_leaving;
-  /// The requests of this host at some worker changed.
+  /// Called when the requests of this host at some worker changed.
   std::function<void(Instant)> loads_changed;
 };
 
@@ -50,9 +50,10 @@
   /// @brief Sends a request to a worker, or refuses it, at once.
   void OnRequest(Instant now, CallerRequest request);
   /// @brief Cancels the attempts of a caller that disconnected.
-  void OnCallerGone(Instant now, const CallerDisconnected& gone);
+  void OnCallerDisconnected(Instant now,
+                            const CallerDisconnected& disconnected);
   /// @brief Records that a caller read bytes; resumes paused attempts.
-  void OnCallerDrained(Instant now, const CallerBufferDrained& drained);
+  void OnCallerBufferDrained(Instant now, const CallerBufferDrained& drained);
   /// @return whether the call belongs to a request, report or migration
   bool OnHead(Instant now, const HttpHead& head);
   bool OnChunk(Instant now, const HttpChunk& chunk);
--- a/src/gateway/detail/gateway_host.h
+++ b/src/gateway/detail/gateway_host.h
@@ -34,7 +34,7 @@
   bool Drained() const;
 
   /// @return the current limits on callers' requests
-  HttpLimits Bounds() const;
+  HttpLimits CurrentHttpLimits() const;
 
   /// @return whether callers may still connect; after Drain() they may until
   /// the load balancer has noticed
@@ -52,7 +52,7 @@
   /// @return a value in [0, 1) derived from the host id
   double Phase() const;
   /// @brief Spreads the reads of the store over the neighbours.
-  void UpdateStoreReading();
+  void UpdateReadSchedule();
   void HandleStoreResults(Instant now);
   Actions Collect(Instant now);
   void ApplyDeployment(Instant now, const ObjectRecord& record);
--- a/src/gateway/forwarding_responses.cc
+++ b/src/gateway/forwarding_responses.cc
@@ -129,8 +129,8 @@
   }
 }
 
-void Forwarding::OnCallerDrained(Instant /*now*/,
-                                 const CallerBufferDrained& drained) {
+void Forwarding::OnCallerBufferDrained(Instant /*now*/,
+                                       const CallerBufferDrained& drained) {
   const auto found = this->flows.find(drained.id.value);
   if (found == this->flows.end()) {
     return;
@@ -387,15 +387,17 @@
   flow->running.clear();
 }
 
-void Forwarding::OnCallerGone(Instant now, const CallerDisconnected& gone) {
-  const auto found = this->flows.find(gone.id.value);
+void Forwarding::OnCallerDisconnected(Instant now,
+                                      const CallerDisconnected& disconnected) {
+  const auto found = this->flows.find(disconnected.id.value);
   if (found == this->flows.end()) {
     return;
   }
   this->CancelAttempts(now, &found->second, false);
   const Outcome outcome =
       found->second.possible_runs > 0 ? Outcome::kUnknown : Outcome::kNotRun;
-  this->Finish(now, gone.id.value, 0, outcome, "the caller disconnected");
+  this->Finish(now, disconnected.id.value, 0, outcome,
+               "the caller disconnected");
 }
 
 // ---- Timers ----
--- a/src/gateway/gateway_host.cc
+++ b/src/gateway/gateway_host.cc
@@ -10,15 +10,15 @@
 // Interval of the linearizable reads that confirm that no change was missed, as
 // a fraction of the maximum delay of the change. The rest is a margin for a
 // lost call.
-constexpr double kDeploymentReadInterval = 0.5;
-constexpr double kWorkersReadInterval = 0.6;
+constexpr double kDeploymentReadFraction = 0.5;
+constexpr double kWorkersReadFraction = 0.6;
 // While workers are replaced, registrations change several times a second; the
-// pause lets one call return several changes. Far below the maximum drain
+// delay lets one call return several changes. Far below the maximum drain
 // delay.
-constexpr Duration kWorkersReadPause = std::chrono::milliseconds(20);
-// Neighbours each pause longer, as one of them reads at any time; new workers
-// may wait this long for their first request.
-constexpr Duration kMaxWorkersReadPause = std::chrono::milliseconds(400);
+constexpr Duration kWorkersBatchDelay = std::chrono::milliseconds(20);
+// With neighbours, each host delays its reads longer, as one of them reads at
+// any time; new workers may wait this long for their first request.
+constexpr Duration kMaxWorkersBatchDelay = std::chrono::milliseconds(400);
 // Two failed checks of the load balancer, one per second, and a margin.
 constexpr Duration kAcceptAfterDrain = std::chrono::milliseconds(3000);
 // Margin between the end of the last request and the platform's SIGKILL.
@@ -33,7 +33,7 @@
       deployments(
           {this->codec.deployment_kind,
            FromSeconds(
-               kDeploymentReadInterval *
+               kDeploymentReadFraction *
                ToSeconds(std::min(this->settings.limits.max_apply_delay,
                                   this->settings.limits.max_revocation_delay))),
            Duration{0}, this->Phase()},
@@ -49,9 +49,9 @@
           &this->store),
       workers(
           {this->codec.worker_kind,
-           FromSeconds(kWorkersReadInterval *
+           FromSeconds(kWorkersReadFraction *
                        ToSeconds(this->settings.limits.max_drain_delay)),
-           kWorkersReadPause, this->Phase()},
+           kWorkersBatchDelay, this->Phase()},
           {[this](Instant now, std::vector<ObjectRecord> records) {
              std::vector<UpstreamId> listed;
              listed.reserve(records.size());
@@ -92,8 +92,8 @@
   NeighbourHooks hooks;
   hooks.local_loads = [this] { return this->forwarding.Loads().LocalLoads(); };
   hooks.host_loads = [this](Instant now, const HostId& host,
-                            const std::vector<WorkerLoad>& shares) {
-    this->forwarding.Loads().ApplyHostLoads(now, host, shares);
+                            const std::vector<WorkerLoad>& loads) {
+    this->forwarding.Loads().ApplyHostLoads(now, host, loads);
   };
   hooks.neighbour_found = [this](const HostId& host) {
     this->Log(LogLevel::kInfo, "neighbour found", {{"neighbour", host.value}});
@@ -103,20 +103,20 @@
     this->forwarding.Loads().RemoveHost(host);
   };
   hooks.local_reads = [this](Instant now) {
-    std::vector<AdvertisedRead> proofs;
+    std::vector<AdvertisedRead> reads;
     for (const KindWatch* watch : {&this->deployments, &this->workers}) {
-      if (const std::optional<LinearizableRead>& proof = watch->LastRead()) {
-        proofs.push_back({proof->kind, proof->changed_at, proof->revision,
-                          now - proof->asked_at});
+      if (const std::optional<LinearizableRead>& read = watch->LastRead()) {
+        reads.push_back({read->kind, read->changed_at, read->revision,
+                         now - read->asked_at});
       }
     }
-    return proofs;
+    return reads;
   };
-  hooks.neighbour_read = [this](Instant asked_at, const AdvertisedRead& proof) {
+  hooks.neighbour_read = [this](Instant asked_at, const AdvertisedRead& read) {
     for (KindWatch* watch : {&this->deployments, &this->workers}) {
-      if (watch->Kind() == proof.kind) {
+      if (watch->Kind() == read.kind) {
         watch->ApplyLinearizableRead(
-            {proof.kind, proof.changed_at, proof.revision, asked_at});
+            {read.kind, read.changed_at, read.revision, asked_at});
       }
     }
   };
@@ -147,14 +147,14 @@
          static_cast<double>(kSteps);
 }
 
-void GatewayHost::UpdateStoreReading() {
-  const bool leads = this->neighbours.IsDomainLeader();
-  this->deployments.SetIsLeader(leads);
-  this->workers.SetIsLeader(leads);
+void GatewayHost::UpdateReadSchedule() {
+  const bool is_leader = this->neighbours.IsDomainLeader();
+  this->deployments.SetIsLeader(is_leader);
+  this->workers.SetIsLeader(is_leader);
   // The host that reads of a leaving worker first notifies its neighbours.
   this->workers.SetBatchDelay(std::min(
-      kMaxWorkersReadPause,
-      kWorkersReadPause * (1 + static_cast<int>(this->neighbours.Count()))));
+      kMaxWorkersBatchDelay,
+      kWorkersBatchDelay * (1 + static_cast<int>(this->neighbours.Count()))));
 }
 
 void GatewayHost::Log(LogLevel level, std::string message,
@@ -179,10 +179,11 @@
     } else {
       this->forwarding.OnRequest(now, *request);
     }
-  } else if (const auto* gone = std::get_if<CallerDisconnected>(&event)) {
-    this->forwarding.OnCallerGone(now, *gone);
+  } else if (const auto* disconnected =
+                 std::get_if<CallerDisconnected>(&event)) {
+    this->forwarding.OnCallerDisconnected(now, *disconnected);
   } else if (const auto* drained = std::get_if<CallerBufferDrained>(&event)) {
-    this->forwarding.OnCallerDrained(now, *drained);
+    this->forwarding.OnCallerBufferDrained(now, *drained);
   } else if (const auto* frame = std::get_if<PeerFrame>(&event)) {
     if (!this->neighbours.OnFrame(now, *frame)) {
       this->metrics.Add(Counter::kPeerFramesRefused);
@@ -205,7 +206,7 @@
   this->directory.Tick(now);
   this->forwarding.Tick(now);
   this->neighbours.Tick(now);
-  this->UpdateStoreReading();
+  this->UpdateReadSchedule();
   return this->Collect(now);
 }
 
@@ -222,9 +223,9 @@
 
 void GatewayHost::HandleStoreResults(Instant now) {
   for (StoreResult& result : this->store.TakeResults()) {
-    const bool answered = result.status == StoreStatus::kOk ||
-                          result.status == StoreStatus::kHistoryGone;
-    if (answered) {
+    const bool responded = result.status == StoreStatus::kOk ||
+                           result.status == StoreStatus::kHistoryGone;
+    if (responded) {
       this->directory.OnStoreResponse(now);
     }
     this->deployments.OnResult(now, &result) ||
@@ -367,7 +368,7 @@
          this->deployments.Age(now) <= limits.max_apply_delay;
 }
 
-HttpLimits GatewayHost::Bounds() const {
+HttpLimits GatewayHost::CurrentHttpLimits() const {
   return this->table == nullptr ? HttpLimits{}
                                 : this->table->Contents().http_limits;
 }
