--- a/src/discovery/detail/kind_watch.h
+++ b/src/discovery/detail/kind_watch.h
@@ -19,7 +19,7 @@
   std::string kind;
   std::uint64_t changed_at = 0;  ///< the kind did not change between this
   std::uint64_t revision = 0;    ///< and this revision
-  Instant asked_at{};            ///< by the clock of the host that keeps this
+  Instant sent_at{};             ///< by the clock of the host that keeps this
 };
 
 /// @brief Settings of a watch.
@@ -66,7 +66,7 @@
 
   /// @brief Applies a linearizable read of another host. It counts as soon as
   /// this watch has received all changes up to the read's `changed_at`.
-  /// @param read with `asked_at` no later than the call by this host's clock
+  /// @param read with `sent_at` no later than the call by this host's clock
   void ApplyLinearizableRead(const LinearizableRead& read);
 
   /// @return the last linearizable read of this host
@@ -101,7 +101,7 @@
   void Call(Instant now);
   void HandlePage(Instant now, StoreResult* result);
   void HandleChanges(Instant now, StoreResult* result);
-  void RecordRead(Instant now, Instant asked_at, std::uint64_t at);
+  void RecordRead(Instant now, Instant sent_at, std::uint64_t at);
   Instant NextReadDue() const;
 
   KindWatchSettings settings;
--- a/src/discovery/kind_watch.cc
+++ b/src/discovery/kind_watch.cc
@@ -108,9 +108,9 @@
   }
 }
 
-void KindWatch::RecordRead(Instant now, Instant asked_at, std::uint64_t at) {
-  this->fresh_at = std::max(this->fresh_at, asked_at);
-  this->last_read = {this->settings.kind, this->changed_at, at, asked_at};
+void KindWatch::RecordRead(Instant now, Instant sent_at, std::uint64_t at) {
+  this->fresh_at = std::max(this->fresh_at, sent_at);
+  this->last_read = {this->settings.kind, this->changed_at, at, sent_at};
   this->hooks.on_linearizable_read(now);
 }
 
@@ -125,19 +125,19 @@
 
 void KindWatch::ApplyLinearizableRead(const LinearizableRead& read) {
   const bool usable =
-      this->has_snapshot && !this->listing && read.asked_at > this->fresh_at;
+      this->has_snapshot && !this->listing && read.sent_at > this->fresh_at;
   if (!usable) {
     return;
   }
   if (this->revision < read.changed_at) {
     const bool newer = !this->pending_read.has_value() ||
-                       this->pending_read->asked_at < read.asked_at;
+                       this->pending_read->sent_at < read.sent_at;
     if (newer) {
       this->pending_read = read;
     }
     return;
   }
-  this->fresh_at = read.asked_at;
+  this->fresh_at = read.sent_at;
   this->revision = std::max(this->revision, read.revision);
 }
 
--- a/src/discovery/tests/kind_watch_test.cc
+++ b/src/discovery/tests/kind_watch_test.cc
@@ -196,15 +196,15 @@
                  "[discovery]") {
   this->Respond(200, "7:a");
   this->Advance(milliseconds(500));
-  const Instant asked_at = this->now - milliseconds(50);
-  this->watch.ApplyLinearizableRead({"workers", 9, 12, asked_at});
+  const Instant sent_at = this->now - milliseconds(50);
+  this->watch.ApplyLinearizableRead({"workers", 9, 12, sent_at});
   CHECK(this->watch.Age(this->now) == milliseconds(500));
   this->Respond(200, "8:b");
   CHECK(this->watch.Age(this->now) == milliseconds(500));
   this->Advance(milliseconds(100));
   this->Respond(200, "9:c");
   CHECK(this->changed == "bc");
-  CHECK(this->watch.Age(this->now) == this->now - asked_at);
+  CHECK(this->watch.Age(this->now) == this->now - sent_at);
 }
 
 TEST_CASE_METHOD(
--- a/src/gateway/gateway_host.cc
+++ b/src/gateway/gateway_host.cc
@@ -107,16 +107,16 @@
     for (const KindWatch* watch : {&this->deployments, &this->workers}) {
       if (const std::optional<LinearizableRead>& read = watch->LastRead()) {
         reads.push_back({read->kind, read->changed_at, read->revision,
-                         now - read->asked_at});
+                         now - read->sent_at});
       }
     }
     return reads;
   };
-  hooks.neighbour_read = [this](Instant asked_at, const AdvertisedRead& read) {
+  hooks.neighbour_read = [this](Instant sent_at, const AdvertisedRead& read) {
     for (KindWatch* watch : {&this->deployments, &this->workers}) {
       if (watch->Kind() == read.kind) {
         watch->ApplyLinearizableRead(
-            {read.kind, read.changed_at, read.revision, asked_at});
+            {read.kind, read.changed_at, read.revision, sent_at});
       }
     }
   };
--- a/src/neighbours/tests/neighbours_test.cc
+++ b/src/neighbours/tests/neighbours_test.cc
@@ -53,8 +53,8 @@
       }
       return reads;
     };
-    hooks.neighbour_read = [&member](Instant asked_at, const AdvertisedRead&) {
-      member.received_read_at = asked_at;
+    hooks.neighbour_read = [&member](Instant sent_at, const AdvertisedRead&) {
+      member.received_read_at = sent_at;
     };
     hooks.own_domain_loads = [&member] { return member.worker_loads; };
     hooks.remote_domain_loads = [&member](Instant,
