--- a/src/configuration/apply.cc
+++ b/src/configuration/apply.cc
@@ -211,12 +211,12 @@
   const auto is_own = [this](std::string_view json) {
     return this->IsOwn(json);
   };
-  const WriteOutcome verdict = ResolveByReadBack(condition, read, is_own);
+  const WriteOutcome outcome = ResolveByReadBack(condition, read, is_own);
   if (Succeeded(read.status)) {
     this->latest_version = read.version;
     this->latest_text = read.bytes;
   }
-  switch (verdict) {
+  switch (outcome) {
     case WriteOutcome::kApplied:
       this->FinishApplied(now, base + 1);
       return;
--- a/src/dispatch/owner_directory.cc
+++ b/src/dispatch/owner_directory.cc
@@ -56,9 +56,9 @@
     }
     const bool fresh = now - owner.updated < kHintLifetime;
     const Duration wait = fresh ? owner.wait : Duration{0};
-    const std::uint64_t spread = Random(owner.hash ^ ticket.value)();
+    const std::uint64_t tie_break = Random(owner.hash ^ ticket.value)();
     const auto cost = std::make_pair(
-        wait + kDistanceCost * static_cast<int>(owner.distance), spread);
+        wait + kDistanceCost * static_cast<int>(owner.distance), tie_break);
     if (best == nullptr || cost < best_cost) {
       best = &owner;
       best_cost = cost;
--- a/src/gateway/detail/codec.h
+++ b/src/gateway/detail/codec.h
@@ -50,7 +50,7 @@
   std::uint32_t active = 0;
   std::uint32_t queued = 0;
   std::uint64_t memory_in_use = 0;  ///< tokens that can't be evicted
-  bool draining = false;            ///< takes no new work, will terminate
+  bool draining = false;            ///< accepts no new work, will terminate
   std::vector<RunningStream> streams;
   std::optional<Duration> terminates_in;  ///< unset if unknown
 };
--- a/src/gateway/forwarding_migration.cc
+++ b/src/gateway/forwarding_migration.cc
@@ -65,7 +65,7 @@
     return nearby;
   }
   // A worker isn't polled again while a call to it is unanswered.
-  const auto asked = [this](const UpstreamId& worker) {
+  const auto has_pending_report = [this](const UpstreamId& worker) {
     return std::any_of(
         this->reports.begin(), this->reports.end(),
         [&](const auto& each) { return each.second.worker.id == worker; });
@@ -80,7 +80,7 @@
         continue;
       }
       ++nearby;
-      if (!asked(worker->id)) {
+      if (!has_pending_report(worker->id)) {
         this->RequestReport(*worker, false, now);
       }
     }
--- a/src/idempotency/log_shard.cc
+++ b/src/idempotency/log_shard.cc
@@ -172,9 +172,9 @@
 const StoredOutcome* LogShard::FindUnconfirmedOutcome(const ClaimId& id) const {
   const auto find_in = [&id](const auto& queued) -> const StoredOutcome* {
     for (const QueuedRecord& record : queued) {
-      const auto* kept = std::get_if<OutcomeRecord>(&record.record);
-      if (kept != nullptr && kept->claim == id) {
-        return &kept->outcome;
+      const auto* outcome_record = std::get_if<OutcomeRecord>(&record.record);
+      if (outcome_record != nullptr && outcome_record->claim == id) {
+        return &outcome_record->outcome;
       }
     }
     return nullptr;
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -40,9 +40,9 @@
   for (const auto& [host, address] : this->settings.seeds) {
     this->AddListedHost(now, {host.value, address, ListedRole::kEntry, false});
   }
-  const double spread = this->random.Fraction();
+  const double fraction = this->random.Fraction();
   this->next_probe =
-      now + FromSeconds(ToSeconds(this->settings.probe_interval) * spread);
+      now + FromSeconds(ToSeconds(this->settings.probe_interval) * fraction);
   this->next_candidate = now;
   this->next_gossip = now;
   this->next_list_read = now;
