--- a/src/configuration/apply.cc
+++ b/src/configuration/apply.cc
@@ -114,7 +114,8 @@
   this->retry_at = now + kRetryDelay;
 }
 
-bool FleetChangeOperation::OnPlatform(Instant now, const StoreResult& result) {
+bool FleetChangeOperation::OnStoreResult(Instant now,
+                                         const StoreResult& result) {
   if (this->op == 0 || result.op.value != this->op) {
     return false;
   }
@@ -210,12 +211,12 @@
   const auto is_own = [this](std::string_view json) {
     return this->IsOwn(json);
   };
-  const WriteOutcome verdict = ResolveByReadBack(condition, read, is_own);
+  const WriteOutcome outcome = ResolveByReadBack(condition, read, is_own);
   if (Succeeded(read.status)) {
     this->latest_version = read.version;
     this->latest_text = read.bytes;
   }
-  switch (verdict) {
+  switch (outcome) {
     case WriteOutcome::kApplied:
       this->FinishApplied(now, base + 1);
       return;
--- a/src/entry/service_handler.cc
+++ b/src/entry/service_handler.cc
@@ -261,7 +261,7 @@
 
 // ---- Events ----
 
-void ServiceHandler::OnCallerGone(RequestId id) {
+void ServiceHandler::OnCallerDisconnected(RequestId id) {
   ServiceRequest& request = this->requests.at(id);
   request.caller_left = true;
   this->shared.requests.SetCallerLeft(id);
@@ -470,7 +470,7 @@
 
 // ---- The idempotency log ----
 
-void ServiceHandler::OnPlatform(const StoreResult& result) {
+void ServiceHandler::OnStoreResult(const StoreResult& result) {
   for (const LogOperationResult& ended :
        this->storage.OnStoreResult(this->shared.now, result)) {
     this->StepLog(ended);
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -40,9 +40,9 @@
   for (const auto& [host, address] : this->settings.seeds) {
     this->AddListedHost(now, {host.value, address, ListedRole::kEntry, false});
   }
-  const double spread = this->random.Fraction();
+  const double fraction = this->random.Fraction();
   this->next_probe =
-      now + FromSeconds(ToSeconds(this->settings.probe_interval) * spread);
+      now + FromSeconds(ToSeconds(this->settings.probe_interval) * fraction);
   this->next_candidate = now;
   this->next_gossip = now;
   this->next_list_read = now;
@@ -107,7 +107,7 @@
   }
 }
 
-bool Membership::OnPlatform(Instant now, const StoreResult& result) {
+bool Membership::OnStoreResult(Instant now, const StoreResult& result) {
   if (this->list_operation == 0 || result.op.value != this->list_operation) {
     return false;
   }
