--- a/src/adapters/handshake.cc
+++ b/src/adapters/handshake.cc
@@ -32,7 +32,7 @@
   return text;
 }
 
-bool HasVersion(const Json& message) {
+bool HasSupportedVersion(const Json& message) {
   const auto found = message.find("version");
   return found != message.end() && found->is_number_integer() &&
          *found == kVersion;
@@ -69,7 +69,7 @@
   const std::optional<std::string> from = TextOf(message, "from");
   const std::optional<std::string> to = TextOf(message, "to");
   const std::optional<std::string> received_nonce = TextOf(message, "nonce");
-  if (!HasVersion(message) || !from.has_value() ||
+  if (!HasSupportedVersion(message) || !from.has_value() ||
       !received_nonce.has_value() || to != this->self.value ||
       *from == this->self.value) {
     return std::nullopt;
@@ -88,7 +88,7 @@
   const std::optional<std::string> from = TextOf(message, "from");
   const std::optional<std::string> received_nonce = TextOf(message, "nonce");
   const std::optional<std::string> mac = TextOf(message, "mac");
-  if (!HasVersion(message) || from != this->peer.value ||
+  if (!HasSupportedVersion(message) || from != this->peer.value ||
       !received_nonce.has_value() || !mac.has_value()) {
     return std::nullopt;
   }
--- a/src/gateway/event_splitter.cc
+++ b/src/gateway/event_splitter.cc
@@ -12,11 +12,10 @@
 /// @return the position after it, or npos
 std::size_t EndOfEvent(std::string_view text, std::size_t from) {
   const std::size_t plain = text.find("\n\n", from);
-  const std::size_t carriage = text.find("\r\n\r\n", from);
+  const std::size_t crlf = text.find("\r\n\r\n", from);
   const std::size_t plain_end = plain == text.npos ? text.npos : plain + 2;
-  const std::size_t carriage_end =
-      carriage == text.npos ? text.npos : carriage + 4;
-  return std::min(plain_end, carriage_end);
+  const std::size_t crlf_end = crlf == text.npos ? text.npos : crlf + 4;
+  return std::min(plain_end, crlf_end);
 }
 
 }  // namespace
--- a/src/gateway/forwarding_migration.cc
+++ b/src/gateway/forwarding_migration.cc
@@ -348,7 +348,8 @@
   this->flow_of_migration[call.id.value] = flow->request.id.value;
   this->actions.emplace_back(std::move(call));
   // A leaving worker closes its connection after each response. Opening the
-  // next one early keeps that time out of the pause of the handover.
+  // next connection early avoids adding the connection setup time to the
+  // handover pause.
   this->actions.emplace_back(HttpPreconnect{
       final_part ? destination->address : migration.source_address});
 }
--- a/src/limits/detail/host_limit.h
+++ b/src/limits/detail/host_limit.h
@@ -39,7 +39,7 @@
   void Grant(const LimitShare& share, Instant until);
 
   /// @brief Starts a request if it is within the limits.
-  /// @param is_retry whether the rate has already counted the request
+  /// @param is_retry whether the request already counts towards the rate
   LimitDecision Begin(Instant now, bool is_retry = false);
 
   /// @brief Ends a request.
--- a/src/metadata_store/client.cc
+++ b/src/metadata_store/client.cc
@@ -10,7 +10,8 @@
 
 constexpr double kUsableFraction = 0.8;  ///< the rest is headroom
 constexpr std::size_t kMinHosts = 6;     ///< fewer are treated as 6
-constexpr double kLatencyWeight = 0.2;   ///< of a new sample in the average
+/// Weight of a new sample in the moving average of the latency.
+constexpr double kLatencyWeight = 0.2;
 constexpr Duration kMinWait = std::chrono::milliseconds(1);
 
 bool IsWatch(StoreVerb verb) {
--- a/src/neighbours/neighbours.h
+++ b/src/neighbours/neighbours.h
@@ -1,6 +1,7 @@
 /// @file
 /// @brief Exchange of state between the entry hosts of a failure domain, so
-/// that each host places requests with the load of all hosts in view.
+/// that each host takes the load of all hosts into account when placing
+/// requests.
 #pragma once
 
 #include "neighbours/detail/message.h"
