--- a/bench/decisions_mix.cc
+++ b/bench/decisions_mix.cc
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr std::uint32_t kPrefixTokens = 160;
-constexpr double kPrefixFraction = 0.7;  // of requests that share a prefix
+/// Fraction of requests that share a prefix.
+constexpr double kPrefixFraction = 0.7;
 constexpr std::size_t kMeanSamples = 200000;
 
 double SampleNormal(Random& random) {
--- a/bench/engine_model.cc
+++ b/bench/engine_model.cc
@@ -138,9 +138,9 @@
                         ? job.prefill_now * this->settings.prefill_microseconds
                         : this->settings.stream_microseconds;
   }
-  this->last_step = this->settings.step_base +
-                    Duration{static_cast<std::int64_t>(microseconds)};
-  return this->last_step;
+  this->last_step_duration = this->settings.step_base +
+                             Duration{static_cast<std::int64_t>(microseconds)};
+  return this->last_step_duration;
 }
 
 std::vector<EngineToken> EngineModel::FinishStep() {
@@ -180,7 +180,7 @@
   status.running = static_cast<std::uint32_t>(this->running.size());
   status.waiting = static_cast<std::uint32_t>(this->waiting.size());
   status.preemptions = this->preemptions;
-  status.step_time = this->last_step;
+  status.step_time = this->last_step_duration;
   return status;
 }
 
--- a/bench/engine_model.h
+++ b/bench/engine_model.h
@@ -105,7 +105,7 @@
   std::uint64_t used_pages = 0;
   std::uint64_t submitted_count = 0;
   std::uint64_t preemptions = 0;
-  Duration last_step{0};
+  Duration last_step_duration{0};
   std::list<std::uint32_t> cache;  ///< most recently used first
   std::vector<EngineCacheChange> cache_changes;
 };
--- a/bench/hosts.cc
+++ b/bench/hosts.cc
@@ -140,12 +140,12 @@
   for (int i = 0; i < count; ++i) {
     const std::size_t victim =
         static_cast<std::size_t>(i * 7 + 1) % group->hosts.size();
-    const HostId gone = group->hosts[victim].id;
+    const HostId terminated_host = group->hosts[victim].id;
     const Instant began = group->now;
     Instant seen{};
     group->on_live = [&](std::size_t, const LiveHostsChanged& change) {
-      const bool missing =
-          !std::binary_search(change.live.begin(), change.live.end(), gone);
+      const bool missing = !std::binary_search(
+          change.live.begin(), change.live.end(), terminated_host);
       seen = missing && seen == Instant{} ? group->now : seen;
     };
     group->Kill(victim);
--- a/bench/idempotency.cc
+++ b/bench/idempotency.cc
@@ -49,7 +49,7 @@
 
   void Run() {
     const auto start = std::chrono::steady_clock::now();
-    this->ScheduleOrder();
+    this->ScheduleNextRequest();
     while (!this->tasks.empty() &&
            this->tasks.begin()->first.first < Instant{} + kRun) {
       auto node = this->tasks.extract(this->tasks.begin());
@@ -68,16 +68,16 @@
     this->tasks.emplace(std::pair(when, this->next_task++), std::move(task));
   }
 
-  void ScheduleOrder() {
+  void ScheduleNextRequest() {
     const double gap = -std::log(1.0 - this->random.Fraction()) /
                        this->bench.orders_per_second;
     this->ScheduleAt(this->now + FromSeconds(gap), [this] {
-      this->SubmitOrder();
-      this->ScheduleOrder();
+      this->SubmitRequest();
+      this->ScheduleNextRequest();
     });
   }
 
-  void SubmitOrder() {
+  void SubmitRequest() {
     const std::size_t host = this->random.Below(this->hosts.size());
     const RequestId request{++this->orders};
     this->sent[request] = this->now;
--- a/fakes/fake_platform.cc
+++ b/fakes/fake_platform.cc
@@ -3,8 +3,8 @@
 namespace limpetlink {
 namespace {
 
-constexpr std::string_view kObjects = "/v1/objects/";
-constexpr std::string_view kWeights = "/v1/weights/";
+constexpr std::string_view kObjectsPathPrefix = "/v1/objects/";
+constexpr std::string_view kWeightsPathPrefix = "/v1/weights/";
 constexpr std::size_t kMaxValueBytes = 1U << 20U;
 constexpr std::uint64_t kMaxWatchMs = 60'000;
 constexpr std::uint64_t kDefaultListLimit = 1000;
@@ -111,22 +111,23 @@
     this->host->ReplyJson(request.id, 200, {{"hosts", this->hosts}});
     return;
   }
-  if (StartsWith(request.path, kWeights)) {
+  if (StartsWith(request.path, kWeightsPathPrefix)) {
     if (this->ExceedsRate(&this->weights_window,
                           this->faults.weights_per_second)) {
       this->ReplyRateLimited(request.id);
       return;
     }
     ++this->counts["weights"];
-    this->host->Reply(request.id, 200,
-                      "weights of " + request.path.substr(kWeights.size()));
+    this->host->Reply(
+        request.id, 200,
+        "weights of " + request.path.substr(kWeightsPathPrefix.size()));
     return;
   }
-  if (!StartsWith(request.path, kObjects)) {
+  if (!StartsWith(request.path, kObjectsPathPrefix)) {
     this->host->ReplyJson(request.id, 404, TitleBody("unknown path"));
     return;
   }
-  const std::string rest = request.path.substr(kObjects.size());
+  const std::string rest = request.path.substr(kObjectsPathPrefix.size());
   const std::size_t slash = rest.find('/');
   if (slash == std::string::npos) {
     this->List(request, PercentDecode(rest));
