--- a/tests/core/fault_matrix_test.cc
+++ b/tests/core/fault_matrix_test.cc
@@ -27,40 +27,40 @@
   }
 }
 
-TEST_CASE("core matrix, nothing fails, keeps every promise") {
+TEST_CASE("core matrix, nothing fails, keeps every guarantee") {
   CheckFault(Fault::kNone);
 }
-TEST_CASE("core matrix, engine dies, keeps every promise") {
+TEST_CASE("core matrix, engine dies, keeps every guarantee") {
   CheckFault(Fault::kEngineDies);
 }
-TEST_CASE("core matrix, engine is reclaimed, keeps every promise") {
+TEST_CASE("core matrix, engine is reclaimed, keeps every guarantee") {
   CheckFault(Fault::kEngineReclaimed);
 }
-TEST_CASE("core matrix, application service dies, keeps every promise") {
+TEST_CASE("core matrix, application service dies, keeps every guarantee") {
   CheckFault(Fault::kServiceDies);
 }
-TEST_CASE("core matrix, entry host dies, keeps every promise") {
+TEST_CASE("core matrix, entry host dies, keeps every guarantee") {
   CheckFault(Fault::kHostDies);
 }
-TEST_CASE("core matrix, link stalls, keeps every promise") {
+TEST_CASE("core matrix, link stalls, keeps every guarantee") {
   CheckFault(Fault::kLinkStalls);
 }
-TEST_CASE("core matrix, platform is down, keeps every promise") {
+TEST_CASE("core matrix, platform is down, keeps every guarantee") {
   CheckFault(Fault::kPlatformDown);
 }
-TEST_CASE("core matrix, platform is slow, keeps every promise") {
+TEST_CASE("core matrix, platform is slow, keeps every guarantee") {
   CheckFault(Fault::kPlatformSlow);
 }
-TEST_CASE("core matrix, answer is lost, keeps every promise") {
+TEST_CASE("core matrix, answer is lost, keeps every guarantee") {
   CheckFault(Fault::kResponseLost);
 }
-TEST_CASE("core matrix, host is paused, keeps every promise") {
+TEST_CASE("core matrix, host is paused, keeps every guarantee") {
   CheckFault(Fault::kHostPaused);
 }
-TEST_CASE("core matrix, operators race, keeps every promise") {
+TEST_CASE("core matrix, operators race, keeps every guarantee") {
   CheckFault(Fault::kOperatorsRace);
 }
-TEST_CASE("core matrix, host leaves, keeps every promise") {
+TEST_CASE("core matrix, host leaves, keeps every guarantee") {
   CheckFault(Fault::kHostLeaves);
 }
 
--- a/tests/core/history_check_test.cc
+++ b/tests/core/history_check_test.cc
@@ -60,7 +60,7 @@
   CHECK(CheckStream(StreamLog(body), kTokens).empty());
 }
 
-TEST_CASE("stream check, broken stream, finds it") {
+TEST_CASE("stream check, invalid stream, reports a violation") {
   SECTION("two generations are spliced") {
     CHECK_FALSE(
         CheckStream(StreamLog(TokenEvent(TokenText("g", 0)) +
@@ -101,7 +101,8 @@
   CHECK(CheckOrders(this->simulation).empty());
 }
 
-TEST_CASE_METHOD(HistoryFixture, "order check, broken rule, finds it") {
+TEST_CASE_METHOD(HistoryFixture,
+                 "order check, violated guarantee, reports it") {
   SECTION("a request is executed twice") {
     this->AddExecution("order", 2);
     this->AddExecution("order", 3);
--- a/tests/core/leaving_test.cc
+++ b/tests/core/leaving_test.cc
@@ -62,7 +62,7 @@
 
 TEST_CASE_METHOD(
     LeavingFixture,
-    "leaving engine, host list says so, gets nothing new after 3 s") {
+    "leaving engine, marked in the host list, gets no new work after 3 s") {
   this->SetListedState("leaving");
   this->SendRequestsFor(kLeavingPropagation);
   CHECK(this->ReceivesNoNewWork());
@@ -70,15 +70,15 @@
 
 TEST_CASE_METHOD(
     LeavingFixture,
-    "leaving engine, its own report says so, gets nothing new after 3 s") {
+    "leaving engine, marked in its own report, gets no new work after 3 s") {
   this->LeavingEngine().ReportDraining(true);
   this->SendRequestsFor(kLeavingPropagation);
   CHECK(this->ReceivesNoNewWork());
 }
 
 TEST_CASE_METHOD(LeavingFixture,
-                 "leaving engine, only one of two sources clears it, still "
-                 "gets nothing new") {
+                 "leaving engine, cleared by only one of two sources, still "
+                 "gets no new work") {
   this->SetListedState("leaving");
   this->LeavingEngine().ReportDraining(true);
   this->SendRequestsFor(kLeavingPropagation);
@@ -102,8 +102,7 @@
   CHECK_FALSE(this->ReceivesNoNewWork());
 }
 
-TEST_CASE_METHOD(LeavingFixture,
-                 "leaving engine, streams in progress, end whole") {
+TEST_CASE_METHOD(LeavingFixture, "leaving engine, running streams, complete") {
   this->SetListedState("leaving");
   this->SendRequestsFor(kLeavingPropagation);
   this->simulation.RunFor(kRequestTimeout);
--- a/tests/core/path_test.cc
+++ b/tests/core/path_test.cc
@@ -108,7 +108,7 @@
 
 TEST_CASE_METHOD(
     PathFixture,
-    "paused host, wakes to a new request, refuses it until it has refreshed") {
+    "paused host, resumes with a new request, rejects it until refreshed") {
   this->simulation.FreezeHost(0);
   const std::size_t caller =
       this->simulation.Send(0, Completion(true), std::chrono::seconds(60));
--- a/tests/hosts/host_group.h
+++ b/tests/hosts/host_group.h
@@ -86,7 +86,7 @@
   Instant now{std::chrono::seconds(1000)};
   /// Returns whether a frame from host a to host b is lost; may be empty.
   std::function<bool(std::size_t a, std::size_t b)> drop_frame;
-  /// Returns the fate of a host's platform call; may be empty.
+  /// Returns the outcome of a host's platform call; may be empty.
   std::function<CallFate(std::size_t host, const HttpCall& call)> call_fate;
   /// Called for each applied document, live list or membership action; each
   /// may be empty.
--- a/tests/process/path_test.cc
+++ b/tests/process/path_test.cc
@@ -131,7 +131,8 @@
 
 TEST_CASE_METHOD(
     PathFixture,
-    "an order cut after its execution, retried, is unknown and ran once") {
+    "an order whose connection closes after its execution, retried, is "
+    "unknown and ran once") {
   this->caller.Call("POST", this->ServiceUrl("/control/faults"),
                     R"({"fault":"cut_after","times":1})");
   const std::string url = this->EntryUrl(1, "/v1/services/trial-bench/dosing");
