--- a/programs/limpetctl/commands.h
+++ b/programs/limpetctl/commands.h
@@ -75,7 +75,7 @@
 /// @brief Drains an entry host. Operands: ip:port.
 CommandResult Drain(const CtlContext& context);
 
-/// @brief Returns the result for invalid arguments: kUsage and a hint at
+/// @brief Returns the result for invalid arguments: kUsage and a hint to use
 /// --help.
 CommandResult UsageError(const std::string& message);
 /// @brief Returns the result for a failed operation.
--- a/src/dispatch/detail/dispatcher.h
+++ b/src/dispatch/detail/dispatcher.h
@@ -49,8 +49,8 @@
   /// @return actions, in the order in which to perform them
   std::vector<DispatchAction> Step(Instant now, const DispatchMessage& message);
 
-  /// @return the latest time of the next DispatchTick; kNever when nothing is
-  /// pending
+  /// @return the latest time at which DispatchTick must be sent; kNever when
+  /// nothing is pending
   Instant NextWakeup() const;
 
   /// @brief Returns the delay after which a hedge of an idempotent lookup may
--- a/src/idempotency/detail/log_shard.h
+++ b/src/idempotency/detail/log_shard.h
@@ -84,7 +84,7 @@
     kListing,
     kReadingNewest,
     kReadingCheckpoint,
-    kReadingPart,
+    kReadingCheckpointPart,
     kReadingTail,
     kCheckingTail,
     kCreating,
--- a/src/idempotency/log_shard_load.cc
+++ b/src/idempotency/log_shard_load.cc
@@ -149,7 +149,7 @@
     case Step::kReadingCheckpoint:
       this->HandleCheckpoint(context, result);
       break;
-    case Step::kReadingPart:
+    case Step::kReadingCheckpointPart:
       this->HandlePart(context, result);
       break;
     case Step::kReadingTail:
@@ -274,7 +274,7 @@
 
 void LogShard::ReadNextPart(LogContext& context) {
   if (this->loading_part < this->loading_checkpoint.parts.size()) {
-    this->Read(context, Step::kReadingPart,
+    this->Read(context, Step::kReadingCheckpointPart,
                this->loading_checkpoint.parts[this->loading_part].name);
     return;
   }
--- a/src/streams/detail/stream.h
+++ b/src/streams/detail/stream.h
@@ -128,9 +128,9 @@
   StreamPhase current_phase = StreamPhase::kWaitingForWorker;
   GenerationId current_generation;
   UpstreamId current_worker;
-  std::uint64_t offset = 0;       ///< offset of the next token
-  std::uint64_t held_tokens = 0;  ///< tokens that the caller holds
-  GenerationId held_generation;
+  std::uint64_t offset = 0;        ///< offset of the next token
+  std::uint64_t held_tokens = 0;   ///< tokens that the caller holds
+  GenerationId caller_generation;  ///< generation of these tokens
   StreamAttempt attempt = 0;
   bool first_call = false;        ///< the open call started its generation
   bool may_be_at_worker = false;  ///< the worker may be running it
--- a/src/streams/stream.cc
+++ b/src/streams/stream.cc
@@ -49,7 +49,7 @@
   }
   if (this->held_tokens > 0) {
     ++this->totals.restarts;
-    out.push_back(RestartStream{this->held_generation, this->held_tokens,
+    out.push_back(RestartStream{this->caller_generation, this->held_tokens,
                                 message.generation});
   } else if (this->generations > 0) {
     ++this->totals.silent_reruns;
@@ -57,7 +57,7 @@
   this->current_generation = std::move(message.generation);
   this->current_worker = std::move(message.worker);
   this->held_tokens = 0;
-  this->held_generation = this->current_generation;
+  this->caller_generation = this->current_generation;
   this->offset = 0;
   this->consecutive_resumes = 0;
   this->last_token = kNever;
@@ -80,7 +80,7 @@
   }
   this->current_generation = std::move(message.generation);
   this->current_worker = std::move(message.worker);
-  this->held_generation = this->current_generation;
+  this->caller_generation = this->current_generation;
   this->held_tokens = message.offset;
   this->offset = message.offset;
   this->may_be_at_worker = true;
@@ -294,7 +294,7 @@
 void Stream::End(Problem problem, StreamActions& out) {
   problem.outcome = this->CurrentOutcome();
   this->current_phase = StreamPhase::kEnded;
-  out.push_back(EndIncomplete{this->held_generation, this->held_tokens,
+  out.push_back(EndIncomplete{this->caller_generation, this->held_tokens,
                               std::move(problem)});
 }
 
