--- a/tests/hosts/host_group.cc
+++ b/tests/hosts/host_group.cc
@@ -314,7 +314,8 @@
 }
 
 void HostGroup::RespondToCall(std::size_t index, std::uint64_t incarnation,
-                              CallId id, const FakePlatform::Response& response) {
+                              CallId id,
+                              const FakePlatform::Response& response) {
   if (!this->hosts[index].running ||
       this->hosts[index].incarnation != incarnation) {
     return;
