--- a/bench/engine_model.cc
+++ b/bench/engine_model.cc
@@ -132,11 +132,12 @@
   std::uint32_t budget = this->settings.prefill_chunk;
   double microseconds = 0;
   for (Job& job : this->running) {
-    job.prefill_now = std::min(job.prefill_left, budget);
-    budget -= job.prefill_now;
-    microseconds += job.prefill_left > 0
-                        ? job.prefill_now * this->settings.prefill_microseconds
-                        : this->settings.stream_microseconds;
+    job.prefill_tokens_in_step = std::min(job.prefill_left, budget);
+    budget -= job.prefill_tokens_in_step;
+    microseconds +=
+        job.prefill_left > 0
+            ? job.prefill_tokens_in_step * this->settings.prefill_microseconds
+            : this->settings.stream_microseconds;
   }
   this->last_step_duration = this->settings.step_base +
                              Duration{static_cast<std::int64_t>(microseconds)};
@@ -148,8 +149,8 @@
   std::vector<Job> unfinished;
   for (Job& job : this->running) {
     const bool was_prefilling = job.prefill_left > 0;
-    job.prefill_left -= job.prefill_now;
-    job.prefill_now = 0;
+    job.prefill_left -= job.prefill_tokens_in_step;
+    job.prefill_tokens_in_step = 0;
     if (job.prefill_left > 0) {
       unfinished.push_back(job);
       continue;
--- a/bench/engine_model.h
+++ b/bench/engine_model.h
@@ -86,7 +86,7 @@
     std::uint64_t order = 0;
     std::uint32_t produced = 0;
     std::uint32_t prefill_left = 0;
-    std::uint32_t prefill_now = 0;
+    std::uint32_t prefill_tokens_in_step = 0;
     std::uint64_t pages = 0;
   };
 
--- a/fakes/fake_engine_steps.cc
+++ b/fakes/fake_engine_steps.cc
@@ -9,7 +9,7 @@
 namespace limpetlink {
 namespace {
 
-constexpr int kDiedExitCode = 9;
+constexpr int kCrashExitCode = 9;
 
 }  // namespace
 
@@ -127,7 +127,7 @@
 
 void FakeEngine::ApplyTokenFaults() {
   if (this->faults.die_after > 0 && --this->faults.die_after == 0) {
-    std::_Exit(kDiedExitCode);
+    std::_Exit(kCrashExitCode);
   }
   if (this->faults.cut_after > 0 && --this->faults.cut_after == 0) {
     this->AbortStreams();
--- a/src/configuration/tests/apply_test.cc
+++ b/src/configuration/tests/apply_test.cc
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using testing::CallFate;
+using testing::CallOutcome;
 using testing::FakePlatform;
 
 constexpr Duration kLateDelay = seconds(7);
@@ -76,20 +76,22 @@
 
   void Serve(const HttpCall& call) {
     const int number = this->calls++;
-    const CallFate fate =
-        number == this->failing_call ? this->failing_fate : CallFate::kServed;
-    const bool late = fate == CallFate::kHangs;
+    const CallOutcome outcome = number == this->failing_call
+                                    ? this->failing_outcome
+                                    : CallOutcome::kServed;
+    const bool late = outcome == CallOutcome::kHangs;
     if (late) {
       this->late_calls.emplace_back(this->now + kLateDelay, call);
       this->client->OnDone(this->now, {call.id, HttpEnd::kCut});
-    } else if (fate == CallFate::kNotConnected) {
+    } else if (outcome == CallOutcome::kNotConnected) {
       this->client->OnDone(this->now, {call.id, HttpEnd::kNotConnected});
-    } else if (fate == CallFate::kOutage || fate == CallFate::kThrottled) {
-      this->Respond(call, {fate == CallFate::kOutage ? 503 : 429, 0, ""});
+    } else if (outcome == CallOutcome::kOutage ||
+               outcome == CallOutcome::kThrottled) {
+      this->Respond(call, {outcome == CallOutcome::kOutage ? 503 : 429, 0, ""});
     } else {
       const auto response = this->platform.Serve(call);
       this->RecordOwnVersion();
-      if (fate == CallFate::kResponseLost) {
+      if (outcome == CallOutcome::kResponseLost) {
         this->client->OnDone(this->now, {call.id, HttpEnd::kCut});
       } else {
         this->Respond(call, response);
@@ -144,7 +146,7 @@
   std::uint64_t last_call = 0;
   int calls = 0;
   int failing_call = -1;
-  CallFate failing_fate = CallFate::kServed;
+  CallOutcome failing_outcome = CallOutcome::kServed;
   int other_after = -1;
   int other_writes = 1;
   std::vector<std::pair<Instant, HttpCall>> late_calls;
@@ -174,22 +176,23 @@
 TEST_CASE(
     "fleet change, every failure at every call and other changes after every "
     "call, reports its real outcome") {
-  constexpr CallFate kFates[] = {CallFate::kServed, CallFate::kResponseLost,
-                                 CallFate::kHangs,  CallFate::kNotConnected,
-                                 CallFate::kOutage, CallFate::kThrottled};
+  constexpr CallOutcome kOutcomes[] = {
+      CallOutcome::kServed, CallOutcome::kResponseLost,
+      CallOutcome::kHangs,  CallOutcome::kNotConnected,
+      CallOutcome::kOutage, CallOutcome::kThrottled};
   int unknown = 0;
-  for (const CallFate fate : kFates) {
+  for (const CallOutcome outcome : kOutcomes) {
     for (int failing = 0; failing < 6; ++failing) {
       for (int other = -1; other < 6; ++other) {
         for (int writes = 1; writes <= 3; ++writes) {
           ApplyFixture run;
           run.failing_call = failing;
-          run.failing_fate = fate;
+          run.failing_outcome = outcome;
           run.other_after = other;
           run.other_writes = writes;
           const ApplyResult result = run.Run();
-          INFO("fate " << static_cast<int>(fate) << " at " << failing
-                       << ", other after " << other << " x" << writes);
+          INFO("outcome " << static_cast<int>(outcome) << " at " << failing
+                          << ", other after " << other << " x" << writes);
           REQUIRE(run.own_versions.size() <= 1);
           if (result.outcome == ApplyOutcome::kApplied) {
             REQUIRE(run.own_versions.count(result.version) == 1);
--- a/src/dispatch/core_grant.cc
+++ b/src/dispatch/core_grant.cc
@@ -214,7 +214,7 @@
           {OrganisationId{name->second}, {limit.concurrent, limit.per_second}});
     }
   }
-  PeerShares response;
+  PeerLimitShares response;
   for (const OrganisationShare& each :
        this->limits.Allocate(this->now, from, demands)) {
     response.limits.push_back({MakeShortName(each.organisation.value),
--- a/src/dispatch/core_reserve.cc
+++ b/src/dispatch/core_reserve.cc
@@ -249,7 +249,8 @@
   }
 }
 
-void DispatchCore::OnPeer(const HostId& /*from*/, const PeerShares& message) {
+void DispatchCore::OnPeer(const HostId& /*from*/,
+                          const PeerLimitShares& message) {
   std::vector<OrganisationShare> shares;
   for (const PeerLimit& limit : message.limits) {
     const auto name = this->names.find(limit.organisation);
--- a/src/dispatch/detail/core.h
+++ b/src/dispatch/detail/core.h
@@ -90,7 +90,7 @@
   void OnPeer(const HostId& from, const PeerQueued& message);
   void OnPeer(const HostId& from, const PeerDeny& message);
   void OnPeer(const HostId& from, const PeerMissing& message);
-  void OnPeer(const HostId& from, const PeerShares& message);
+  void OnPeer(const HostId& from, const PeerLimitShares& message);
   PeerDemand ToPeerDemand(const Entry& entry) const;
   PeerStream ToPeerStream(const Entry& entry) const;
   void SendSnapshots();
--- a/src/dispatch/detail/wire.h
+++ b/src/dispatch/detail/wire.h
@@ -106,14 +106,15 @@
 };
 
 /// @brief Shares allocated by a limit's owner.
-struct PeerShares {
+struct PeerLimitShares {
   std::vector<PeerLimit> limits;
 };
 
 /// @brief Any message between dispatchers.
-using PeerMessage = std::variant<PeerReserve, PeerGrant, PeerQueued, PeerDeny,
-                                 PeerRelease, PeerSnapshot, PeerMissing,
-                                 PeerAnnounce, PeerLimitRequest, PeerShares>;
+using PeerMessage =
+    std::variant<PeerReserve, PeerGrant, PeerQueued, PeerDeny, PeerRelease,
+                 PeerSnapshot, PeerMissing, PeerAnnounce, PeerLimitRequest,
+                 PeerLimitShares>;
 
 /// @brief A message with the sender's incarnation.
 struct PeerEnvelope {
--- a/src/dispatch/wire.cc
+++ b/src/dispatch/wire.cc
@@ -166,7 +166,7 @@
   WriteLimits(out, message.limits);
 }
 
-void Write(Writer& out, const PeerShares& message) {
+void Write(Writer& out, const PeerLimitShares& message) {
   WriteLimits(out, message.limits);
 }
 
@@ -260,7 +260,7 @@
     case 8:
       return PeerLimitRequest{ReadLimits(in)};
     case 9:
-      return PeerShares{ReadLimits(in)};
+      return PeerLimitShares{ReadLimits(in)};
     default:
       return std::nullopt;
   }
--- a/src/metadata_store/tests/fake_platform.cc
+++ b/src/metadata_store/tests/fake_platform.cc
@@ -5,7 +5,7 @@
 namespace limpetlink::testing {
 namespace {
 
-constexpr std::string_view kObjects = "/v1/objects/";
+constexpr std::string_view kObjectsPathPrefix = "/v1/objects/";
 
 std::string Decode(const std::string& text) {
   std::string decoded;
@@ -41,14 +41,14 @@
       mark == std::string::npos ? "" : target.substr(mark + 1);
   if (call.method != "GET") {
     ++this->writes;
-    return this->ServeWrite(call, path.substr(kObjects.size()));
+    return this->ServeWrite(call, path.substr(kObjectsPathPrefix.size()));
   }
   const std::string watch = QueryValue(query, "watch");
   ++(watch.empty() ? this->reads : this->watches);
   if (path == "/v1/hosts") {
     return {200, 0, this->hosts_body};
   }
-  const std::string key = path.substr(kObjects.size());
+  const std::string key = path.substr(kObjectsPathPrefix.size());
   if (key.find('/') == std::string::npos) {
     return this->ServeList(key, query);
   }
--- a/src/metadata_store/tests/fake_platform.h
+++ b/src/metadata_store/tests/fake_platform.h
@@ -15,7 +15,7 @@
 namespace limpetlink::testing {
 
 /// @brief Simulated outcome of one call.
-enum class CallFate {
+enum class CallOutcome {
   kServed,
   kResponseLost,  ///< runs, then the connection is lost
   kNotConnected,  ///< does not run
--- a/src/streams/tests/stream_test.cc
+++ b/src/streams/tests/stream_test.cc
@@ -13,14 +13,14 @@
   StreamActions Step(StreamMessage message) {
     return this->stream.Step(this->now, std::move(message));
   }
-  StreamActions Token(std::uint32_t attempt, std::uint64_t offset) {
+  StreamActions ReceiveToken(std::uint32_t attempt, std::uint64_t offset) {
     return this->Step(
         StreamFrame{attempt, {{"g1"}, offset, "t", std::nullopt}});
   }
   void BeginWithTokens(std::uint64_t count) {
     this->Step(StreamBegin{{"g1"}, {"w1"}});
     for (std::uint64_t i = 0; i < count; ++i) {
-      REQUIRE(this->Token(1, i).size() == 1);
+      REQUIRE(this->ReceiveToken(1, i).size() == 1);
     }
   }
   StreamActions TickUntilGenerationLost() {
@@ -47,7 +47,7 @@
 TEST_CASE_METHOD(StreamFixture, "stream, unexpected frame, is dropped") {
   this->BeginWithTokens(2);
   SECTION("duplicate") {
-    CHECK(this->Token(1, 1).empty());
+    CHECK(this->ReceiveToken(1, 1).empty());
     CHECK(this->stream.Counts().duplicates == 1);
   }
   SECTION("other generation") {
@@ -56,13 +56,13 @@
     CHECK(this->stream.Counts().stale == 1);
   }
   SECTION("gap, resumes at the expected offset") {
-    const StreamActions actions = this->Token(1, 3);
+    const StreamActions actions = this->ReceiveToken(1, 3);
     CHECK(Find<DeliverToken>(actions) == nullptr);
     REQUIRE(Find<ResumeCall>(actions) != nullptr);
     CHECK(Find<ResumeCall>(actions)->offset == 2);
-    CHECK(this->Token(1, 2).empty());
+    CHECK(this->ReceiveToken(1, 2).empty());
     CHECK(this->stream.Counts().late == 1);
-    CHECK(Find<DeliverToken>(this->Token(2, 2)) != nullptr);
+    CHECK(Find<DeliverToken>(this->ReceiveToken(2, 2)) != nullptr);
   }
   SECTION("finish with another token count") {
     const EngineFrame finish{{"g1"}, 1, "", FinishReason::kStop};
@@ -157,7 +157,7 @@
   this->options.low_buffer_bytes = 100;
   this->stream = Stream(this->options);
   this->BeginWithTokens(2);
-  REQUIRE(Find<PauseCall>(this->Token(1, 2)) != nullptr);
+  REQUIRE(Find<PauseCall>(this->ReceiveToken(1, 2)) != nullptr);
   CHECK(this->stream.NextWakeup() == kNever);
   CHECK(this->Step(StreamBufferDrained{101}).empty());
   SECTION("drained, resumes reading") {
@@ -188,8 +188,8 @@
   const StreamActions actions = this->Step(StreamResume{{"g1"}, {"w1"}, 7});
   REQUIRE(Find<ResumeCall>(actions) != nullptr);
   CHECK(Find<ResumeCall>(actions)->offset == 7);
-  CHECK(this->Token(1, 6).empty());
-  CHECK(Find<DeliverToken>(this->Token(1, 7)) != nullptr);
+  CHECK(this->ReceiveToken(1, 6).empty());
+  CHECK(Find<DeliverToken>(this->ReceiveToken(1, 7)) != nullptr);
 }
 
 }  // namespace
--- a/tests/hosts/configuration_test.cc
+++ b/tests/hosts/configuration_test.cc
@@ -62,8 +62,10 @@
 
   void SetUnreachable(
       const std::function<bool(std::size_t)>& unreachable) const {
-    this->group->call_fate = [unreachable](std::size_t host, const HttpCall&) {
-      return unreachable(host) ? CallFate::kNotConnected : CallFate::kServed;
+    this->group->call_outcome = [unreachable](std::size_t host,
+                                              const HttpCall&) {
+      return unreachable(host) ? CallOutcome::kNotConnected
+                               : CallOutcome::kServed;
     };
   }
 
@@ -96,10 +98,10 @@
                  "active everywhere in 13 s") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     this->StartGroup(3 + seed, seed);
-    this->group->call_fate = [](std::size_t, const HttpCall& call) {
+    this->group->call_outcome = [](std::size_t, const HttpCall& call) {
       const bool is_long_poll = call.url.find("watch=") != std::string::npos &&
                                 call.url.find("wait_ms=0") == std::string::npos;
-      return is_long_poll ? CallFate::kHangs : CallFate::kServed;
+      return is_long_poll ? CallOutcome::kHangs : CallOutcome::kServed;
     };
     this->group->RunFor(seconds(20));
     INFO("seed " << seed);
@@ -157,7 +159,7 @@
   for (const GroupHost& host : this->group->hosts) {
     CHECK_FALSE(host.configuration->Ready());
   }
-  this->group->call_fate = {};
+  this->group->call_outcome = {};
   CHECK(
       this->group->RunUntil([this] { return this->AllReady(); }, seconds(20)));
 }
@@ -238,14 +240,14 @@
               [half](std::size_t host) { return host >= half; });
           break;
         default:
-          this->group->call_fate = {};
+          this->group->call_outcome = {};
           break;
       }
       this->WriteDocument();
       this->group->RunFor(seconds(random.Below(12)));
     }
     this->group->drop_frame = {};
-    this->group->call_fate = {};
+    this->group->call_outcome = {};
     this->group->RunFor(seconds(60));
     INFO("seed " << seed);
     CHECK(this->IsActiveEverywhere(this->WriteDocument(), kPropagationLimit));
--- a/tests/hosts/host_group.cc
+++ b/tests/hosts/host_group.cc
@@ -262,34 +262,36 @@
 }
 
 void HostGroup::ExecuteCall(std::size_t index, const HttpCall& call) {
-  const CallFate call_fate =
-      this->call_fate ? this->call_fate(index, call) : CallFate::kServed;
+  const CallOutcome call_outcome = this->call_outcome
+                                       ? this->call_outcome(index, call)
+                                       : CallOutcome::kServed;
   const CallId id = call.id;
-  if (call_fate == CallFate::kNotConnected) {
+  if (call_outcome == CallOutcome::kNotConnected) {
     this->Schedule(this->now + kPlatformDelay, index, [this, index, id] {
       this->DeliverEvent(index, HttpDone{id, HttpEnd::kNotConnected});
     });
     return;
   }
   this->Schedule(this->now + kPlatformDelay, index,
-                 [this, index, call, call_fate] {
-                   this->ServeCall(index, call, call_fate);
+                 [this, index, call, call_outcome] {
+                   this->ServeCall(index, call, call_outcome);
                  });
 }
 
 void HostGroup::ServeCall(std::size_t index, const HttpCall& call,
-                          CallFate call_fate) {
+                          CallOutcome call_outcome) {
   const std::uint64_t incarnation = this->hosts[index].incarnation;
-  if (call_fate == CallFate::kOutage || call_fate == CallFate::kThrottled) {
-    const int status = call_fate == CallFate::kOutage ? 503 : 429;
+  if (call_outcome == CallOutcome::kOutage ||
+      call_outcome == CallOutcome::kThrottled) {
+    const int status = call_outcome == CallOutcome::kOutage ? 503 : 429;
     this->RespondToCall(index, incarnation, call.id, {status, 0, ""});
     return;
   }
   const FakePlatform::Response response = this->platform.Serve(call);
-  if (call_fate == CallFate::kHangs) {
+  if (call_outcome == CallOutcome::kHangs) {
     return;
   }
-  if (call_fate == CallFate::kResponseLost) {
+  if (call_outcome == CallOutcome::kResponseLost) {
     this->DeliverEvent(index, HttpDone{call.id, HttpEnd::kCut});
     return;
   }
--- a/tests/hosts/host_group.h
+++ b/tests/hosts/host_group.h
@@ -87,7 +87,8 @@
   /// Returns whether a frame from host a to host b is lost; may be empty.
   std::function<bool(std::size_t a, std::size_t b)> drop_frame;
   /// Returns the outcome of a host's platform call; may be empty.
-  std::function<CallFate(std::size_t host, const HttpCall& call)> call_fate;
+  std::function<CallOutcome(std::size_t host, const HttpCall& call)>
+      call_outcome;
   /// Called for each applied document, live list or membership action; each
   /// may be empty.
   std::function<void(std::size_t host, const ConfigurationApplied&)> on_applied;
@@ -124,7 +125,8 @@
                  const std::string& payload);
   void Deliver(std::size_t to, const PeerFrame& frame);
   void ExecuteCall(std::size_t index, const HttpCall& call);
-  void ServeCall(std::size_t index, const HttpCall& call, CallFate call_fate);
+  void ServeCall(std::size_t index, const HttpCall& call,
+                 CallOutcome call_outcome);
   void RespondToCall(std::size_t index, std::uint64_t incarnation, CallId id,
                      const FakePlatform::Response& response);
   void DeliverEvent(std::size_t index, const Event& event);
