--- a/src/gateway/forwarding_responses.cc
+++ b/src/gateway/forwarding_responses.cc
@@ -18,9 +18,9 @@
 constexpr std::size_t kResumeThreshold = 16U << 10U;
 // Maximum size of a response that is buffered until it is complete.
 constexpr std::size_t kMaxBufferedResponse = 8U << 20U;
-// Poll interval for the load of engines in this failure domain; their figures
-// lag by about as much. With more engines each one is polled less often, as
-// more hosts poll them.
+// Base interval at which a host polls the load of the engines in its failure
+// domain; the load known of an engine is out of date by about one interval. The
+// interval grows with the number of engines, as more hosts then poll each one.
 constexpr Duration kLoadPollInterval = std::chrono::milliseconds(500);
 constexpr double kReportsPerInterval = 3.0;
 // Hosts that advertise their placements to each other need fewer reports, and
--- a/src/idempotency/tests/log_world.h
+++ b/src/idempotency/tests/log_world.h
@@ -22,8 +22,10 @@
   kEarlyNotRun,              ///< reports not_run while the claim is still open
   kLostAsCreated,            ///< treats a lost response as success
   kExistsAsCreated,          ///< treats a collision as success
-  kNoFloorCheck,             ///< the check after a create always passes
-  kAlwaysFirstAttempt,       ///< declares each attempt the first one
+  /// Listings omit the floor objects, so the check after creating a segment
+  /// always passes.
+  kNoFloorCheck,
+  kAlwaysFirstAttempt,  ///< declares each attempt the first one
 };
 
 /// @brief A fault injected at one step.
@@ -63,7 +65,8 @@
 
   OrderHistory history;
   LogCounts counts;  ///< over all hosts and incarnations
-  std::map<std::string, std::string> objects;  ///< of the platform
+  /// Objects stored by the simulated platform, by name.
+  std::map<std::string, std::string> objects;
   /// Steps of all hosts, without ticks, until the faults are over.
   std::uint64_t events = 0;
 
--- a/src/streams/tests/stream_simulation.h
+++ b/src/streams/tests/stream_simulation.h
@@ -16,12 +16,16 @@
 /// @brief Deliberate defect, used to test that StreamHistory detects it.
 enum class StreamDefect {
   kNone,
-  kSplice,         ///< a new generation continues where the lost one ended
-  kNoOffsetCheck,  ///< frames get the expected offset
-  kNoIdCheck,      ///< frames get the expected generation
-  kEarlyNotRun,    ///< every incomplete end is reported as not_run
-  kEndAsFinish,    ///< a response that ends early counts as finished
-  kAlwaysCancel,   ///< a frozen host cancels its generation when it wakes
+  kSplice,  ///< a new generation continues where the lost one ended
+  /// Each frame's offset is replaced with the expected one, which disables the
+  /// check.
+  kNoOffsetCheck,
+  /// Each frame's generation ID is replaced with the expected one, which
+  /// disables the check.
+  kNoIdCheck,
+  kEarlyNotRun,   ///< every incomplete end is reported as not_run
+  kEndAsFinish,   ///< a response that ends early counts as finished
+  kAlwaysCancel,  ///< a frozen host cancels its generation when it wakes
 };
 
 /// @brief Sizes and fault probabilities of a run.
